--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -59,7 +59,7 @@
         self.settle(id);
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<Report>, WireError> {
+    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, WireError> {
         let Some(row) = f.get("healthInfo").filter(|r| !r.is_empty() && *r != "-") else { return Ok(None) };
         let values = self.names.report.iter().map(String::as_str).zip(row.split(','));
         read_report(values).map(Some).ok_or_else(|| f.bad("healthInfo", format!("cannot read {row:?}")))
@@ -91,7 +91,9 @@
                 Action::Cancel { attempt, .. } => {
                     write!(out, "CANCEL forwarder={number} ref={wire_id} go={attempt}")
                 }
-                Action::Close { endpoint } => write!(out, "DISCONNECT forwarder={number} target={endpoint}"),
+                Action::CloseIdle { endpoint } => {
+                    write!(out, "DISCONNECT forwarder={number} target={endpoint}")
+                }
                 Action::Wake { at } => {
                     write!(out, "SET_ALARM forwarder={number} time={} handle=0", ms(at))
                 }
@@ -182,14 +184,14 @@
                 let class = f.need("priority")?;
                 let class = index(&inst.names.classes, class)
                     .ok_or_else(|| f.bad("priority", format!("unknown class {class:?}")))?;
-                let event = Event::Submit(Submit {
+                let event = Event::Submit(SubmittedMessage {
                     id: inst.next,
                     class,
                     tenant: f.get("clientGroup").and_then(|t| index(&inst.names.tenants, t)),
                     key: f.get("partitionKey").filter(|k| !k.is_empty()).map(str::to_owned),
-                    give_up_at: f.time("giveUpAt")?.ok_or_else(|| f.bad("giveUpAt", "missing"))?,
+                    expires_at: f.time("giveUpAt")?.ok_or_else(|| f.bad("giveUpAt", "missing"))?,
                     dest: f.int("calledNode")?,
-                    past: Past::default(),
+                    history: MessageHistory::default(),
                 });
                 let wire_id = f.need("ref")?.to_owned();
                 inst.ids.insert(wire_id.clone(), inst.next);
@@ -210,24 +212,32 @@
                 held.out = held.out.saturating_sub(1);
                 held.over |= finished;
                 closes = Some(id);
-                Event::Ended(Ended { id, attempt, outcome, elapsed, finished, report, wait: None })
+                Event::AttemptEnded(EndedAttempt {
+                    id,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    finished,
+                    report,
+                    wait: None,
+                })
             }
             "UNDER_WAY" => match known(inst)? {
-                Some(id) => Event::Started { id },
+                Some(id) => Event::ResponseStarted { id },
                 None => return Ok(()),
             },
             "CLIENT_LEFT" => match known(inst)? {
                 Some(id) => {
                     inst.held.get_mut(&id).expect("ids and held go together").over = true;
                     closes = Some(id);
-                    Event::ClientLeft { id }
+                    Event::ClientDisconnected { id }
                 }
                 None => return Ok(()),
             },
             "RING" => Event::Wake,
             _ => {
                 let mode = f.need("mode")?;
-                let entries = || -> Result<Vec<Entry>, WireError> {
+                let entries = || -> Result<Vec<EndpointEntry>, WireError> {
                     let sheet = f.int("sheet")?;
                     let rows = self
                         .sheets
@@ -236,7 +246,7 @@
                     let number = |names: &[String], name: &str| index(names, name).unwrap_or(usize::MAX);
                     Ok(rows
                         .iter()
-                        .map(|r| Entry {
+                        .map(|r| EndpointEntry {
                             endpoint: r.endpoint,
                             dest: r.dest,
                             zone: number(&inst.names.zones, &r.zone),
@@ -248,8 +258,8 @@
                 };
                 match mode {
                     "patch" => Event::ListChanges(entries()?),
-                    "whole" | "stale_copy" => Event::ListWhole(entries()?),
-                    "broken" => Event::ListBroken,
+                    "whole" | "stale_copy" => Event::FullList(entries()?),
+                    "broken" => Event::SubscriptionFailed,
                     v => return Err(f.bad("mode", format!("unknown mode {v:?}"))),
                 }
             }
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Receiver;
 use tokio::time::Instant;
-use yarrowhill_policy::api::{DestId, EndpointId, MessageId, Micros, Outcome, Report};
+use yarrowhill_policy::api::{DestId, EndpointId, LimitReport, MessageId, Micros, Outcome};
 
 /// One message in a call.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
     /// Nothing more is owed for the message.
     pub finished: bool,
     /// What the destination told of its limit.
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     /// A wait that was told, whatever the outcome.
     pub wait: Option<Micros>,
 }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::transport::Transport;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
-use yarrowhill_policy::api::{DestId, EndpointId, Entry, Event, Listing, Micros, Settings};
+use yarrowhill_policy::api::{DestId, EndpointEntry, EndpointId, Event, Listing, Micros, Settings};
 use yarrowhill_settings::{Names, index};
 
 /// A list is no further behind another than this (microseconds): a lower version after that is another numbering.
@@ -75,14 +75,14 @@
         }
         let entries =
             list.lines.iter().map(|line| self.line(now, list.rev, line, settings, names, transport));
-        let entries: Vec<Entry> = entries.collect();
+        let entries: Vec<EndpointEntry> = entries.collect();
         self.gone.keys().for_each(|id| transport.endpoint(*id, None));
         self.forget(now);
         self.serving.clear();
         for endpoint in self.known.values().filter(|endpoint| endpoint.serves) {
             *self.serving.entry(endpoint.dest).or_default() += 1;
         }
-        if list.all { Event::ListWhole(entries) } else { Event::ListChanges(entries) }
+        if list.all { Event::FullList(entries) } else { Event::ListChanges(entries) }
     }
 
     fn line(
@@ -93,12 +93,12 @@
         settings: &Settings,
         names: &Names,
         transport: &mut impl Transport,
-    ) -> Entry {
+    ) -> EndpointEntry {
         let next = self.next;
         let endpoint = *self.uids.entry(line.uid.clone()).or_insert(next);
         self.next += EndpointId::from(endpoint == next);
         let kind = index(&names.kinds, &line.kind).unwrap_or(usize::MAX);
-        let batch = settings.kinds.get(kind).map_or(1, |k| k.batch.max(1));
+        let batch = settings.kinds.get(kind).map_or(1, |k| k.max_batch.max(1));
         let new = || Endpoint {
             uid: line.uid.clone(),
             dest: line.dest,
@@ -133,7 +133,7 @@
         } else {
             self.gone.remove(&endpoint);
         }
-        Entry {
+        EndpointEntry {
             endpoint,
             dest: line.dest,
             zone: index(&names.zones, &line.zone).unwrap_or(usize::MAX),
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -70,7 +70,7 @@
         self.next_call += 1;
         t.in_flight += 1;
         let connect_timeout = Duration::from_micros(connect_timeout as u64);
-        let second_copies = self.settings.second_copies;
+        let second_copies = self.settings.may_overlap_attempts;
         let decided = Instant::now();
         let (dest, to) = (t.dest, t.to);
         let elsewhere = self.endpoints.serving(dest) > 1;
@@ -144,7 +144,7 @@
             self.journal.note(&record, unix);
         }
         let finished = !self.messages.contains_key(&id);
-        let ended = Ended { id, attempt, outcome, elapsed: now - out.sent, finished, report, wait };
-        self.balancer.on_event(now, Event::Ended(ended), &mut self.actions);
+        let ended = EndedAttempt { id, attempt, outcome, elapsed: now - out.sent, finished, report, wait };
+        self.balancer.on_event(now, Event::AttemptEnded(ended), &mut self.actions);
     }
 }
--- a/crates/engine/src/engine/commit.rs
+++ b/crates/engine/src/engine/commit.rs
@@ -62,7 +62,7 @@
         if let Some(mut message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
             message.answer(Answer::Refused(Some(AGAIN)));
-            self.events.push(Event::ClientLeft { id });
+            self.events.push(Event::ClientDisconnected { id });
         }
     }
 
@@ -71,12 +71,12 @@
         if let Some(message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
             self.journal.note(&Record::Closed(message.accepted.id, End::Refused, 0), unix_now());
-            self.events.push(Event::ClientLeft { id });
+            self.events.push(Event::ClientDisconnected { id });
         }
     }
 
     pub(super) fn not_sent(&mut self, send: &Send) {
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::AttemptEnded(EndedAttempt {
             id: send.id,
             attempt: send.attempt,
             outcome: Outcome::NotSent,
--- a/crates/engine/src/engine/intake.rs
+++ b/crates/engine/src/engine/intake.rs
@@ -54,7 +54,7 @@
             clients: vec![answer],
             taken_on: false,
         };
-        Some(self.submit(now, message, class, tenant, Past::default()))
+        Some(self.submit(now, message, class, tenant, MessageHistory::default()))
     }
 
     pub(super) fn submit(
@@ -63,12 +63,13 @@
         message: Message,
         class: usize,
         tenant: Option<usize>,
-        past: Past,
+        past: MessageHistory,
     ) -> MessageId {
         let (dest, give_up_at) = (message.accepted.dest, message.give_up_at);
         tracing::debug!(id = %message.accepted.id, class, dest, left = give_up_at - now, ?past, "taken");
         let id = self.hold(message);
-        let submit = Submit { id, class, tenant, key: None, give_up_at, dest, past };
+        let submit =
+            SubmittedMessage { id, class, tenant, key: None, expires_at: give_up_at, dest, history: past };
         self.balancer.on_event(now, Event::Submit(submit), &mut self.actions);
         id
     }
@@ -96,7 +97,11 @@
             let zone = index(&self.names.zones, &first.zone).unwrap_or(usize::MAX);
             Some((now.saturating_add(ago(first.sent).max(-LONG_AGO)), zone))
         });
-        let past = Past { attempts: attempts.len().max(usize::from(in_doubt)), risk, taken_on: true };
+        let past = MessageHistory {
+            attempts: attempts.len().max(usize::from(in_doubt)),
+            first_possible_run: risk,
+            was_accepted: true,
+        };
         let class = index(&self.names.classes, &accepted.class);
         let tenant = accepted.tenant.as_ref().and_then(|t| index(&self.names.tenants, t));
         let give_up_at = now.saturating_add(ago(accepted.deadline));
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -29,7 +29,8 @@
 };
 use yarrowhill_policy::Balancer;
 use yarrowhill_policy::api::{
-    Action, Ended, EndpointId, Event, MessageId, Micros, Outcome, Past, Settings, Submit,
+    Action, EndedAttempt, EndpointId, Event, MessageHistory, MessageId, Micros, Outcome, Settings,
+    SubmittedMessage,
 };
 use yarrowhill_settings::{Names, index};
 
@@ -191,7 +192,7 @@
         let quotas: Vec<f64> = options.settings.tenants.iter().map(|t| t.quota).collect();
         let room = match &options.shard {
             Some(shard) => Room::leased(&shard.pool),
-            None => Room::own(options.settings.open_cap),
+            None => Room::own(options.settings.max_held_messages),
         };
         let owners = options.shard.map(|Shard { number, shares, .. }| {
             let counts = vec![0; quotas.len()];
@@ -224,7 +225,7 @@
         };
         let now = engine.clock.now();
         // Where discovery has to be asked, many do, and what is known has to do.
-        engine.word_by = (!engine.settings.ask).then_some(now + FIRST_WORD);
+        engine.word_by = (!engine.settings.must_subscribe).then_some(now + FIRST_WORD);
         engine.list(now, &options.known);
         for (message, end) in recovered.orphans {
             engine.owed.push(Notice { message, end });
@@ -237,7 +238,7 @@
 
     /// Least time between two turns.
     pub fn round(&self) -> Duration {
-        Duration::from_micros(self.settings.round.max(1000) as u64)
+        Duration::from_micros(self.settings.min_turn_interval.max(1000) as u64)
     }
 
     /// When the next turn is due, whatever comes in: no later than `latest`.
@@ -311,7 +312,7 @@
                 }
                 Action::Fail { id } => self.give_up(id, End::Failed, None),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::Close { endpoint } => self.transport.close_idle(endpoint),
+                Action::CloseIdle { endpoint } => self.transport.close_idle(endpoint),
                 Action::Wake { at } => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
                 // The list is watched all the time.
                 Action::Subscribe => {}
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -281,7 +281,7 @@
         Just(Outcome::Reset),
         Just(Outcome::ConnectFailed),
         Just(Outcome::TimedOut),
-        Just(Outcome::Spoilt),
+        Just(Outcome::Malformed),
     ];
     prop_oneof![
         4 => (0..2usize).prop_map(Step::HandIn),
--- a/crates/http/src/calls.rs
+++ b/crates/http/src/calls.rs
@@ -18,7 +18,7 @@
 #[cfg(feature = "gate")]
 use yarrowhill_engine::CallWent;
 use yarrowhill_engine::{AttemptEnd, Call, CallEnd, Input, Item, Order};
-use yarrowhill_policy::api::{MessageId, Micros, Outcome, Report};
+use yarrowhill_policy::api::{LimitReport, MessageId, Micros, Outcome};
 use yarrowhill_settings::read_report;
 
 /// Longest that a call is held back with a slot and a connection before it goes back to the module.
@@ -424,7 +424,7 @@
     status: StatusCode,
     wait: Option<Micros>,
     no_slot: bool,
-    report: Option<Report>,
+    report: Option<LimitReport>,
     /// The end of each message of a batch.
     states: Option<Vec<ItemState>>,
     /// It came to its end, so that the connection can be used again.
@@ -505,7 +505,7 @@
 }
 
 /// What can be read of a load report: one value that can't does not hide the others.
-fn report(values: &str) -> Option<Report> {
+fn report(values: &str) -> Option<LimitReport> {
     let pairs = values.split(',').filter_map(|pair| pair.trim().split_once('='));
     read_report(pairs.filter(|(_, value)| value.parse().is_ok_and(f64::is_finite)))
 }
@@ -524,7 +524,7 @@
             return waiting.iter().map(|i| end(i, Outcome::ConnectFailed)).collect();
         }
         Err(Silence::MayHaveRun) => return waiting.iter().map(|i| end(i, Outcome::Reset)).collect(),
-        Err(Silence::Spoilt) => return waiting.iter().map(|i| end(i, Outcome::Spoilt)).collect(),
+        Err(Silence::Spoilt) => return waiting.iter().map(|i| end(i, Outcome::Malformed)).collect(),
     };
     let ended = waiting.iter().map(|item| {
         let mut states = answer.states.iter().flatten();
@@ -549,7 +549,7 @@
 fn outcome(answer: &Answer, state: Option<&str>) -> (Outcome, bool) {
     let full = Outcome::Full { wait: answer.wait };
     match answer.status {
-        _ if answer.spoilt => (Outcome::Spoilt, false),
+        _ if answer.spoilt => (Outcome::Malformed, false),
         StatusCode::OK if answer.states.is_some() => match state {
             Some("accepted") => (Outcome::Delivered, true),
             Some("deferred") => (full, false),
--- a/crates/http/tests/calls.rs
+++ b/crates/http/tests/calls.rs
@@ -373,7 +373,7 @@
         stream.write_all(answer.as_bytes()).await.expect("it reads");
         drop(stream);
         let end = next(&mut news).await;
-        assert_eq!(ended(&end), [(1, Outcome::Spoilt), (2, Outcome::Spoilt)], "{cut:?}");
+        assert_eq!(ended(&end), [(1, Outcome::Malformed), (2, Outcome::Malformed)], "{cut:?}");
         assert!(end.ended.iter().all(|end| !end.finished && !end.outcome.never_ran()));
     }
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -33,24 +33,24 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Delivered within this time it earns its full worth; 0 where there is no aim.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// How long it may be delivered after it was first handed in.
     pub deadline: Micros,
     /// Worth of one message.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth left at the deadline.
-    pub late_share: f64,
+    pub deadline_value_share: f64,
     /// Messages with the same key go one at a time, in the order taken.
     pub ordered: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Kind {
+pub struct DestKind {
     /// The endpoints of a destination are separate routes with limits and outages of their own.
-    pub routes_apart: bool,
+    pub independent_endpoints: bool,
     /// Messages that may travel as one call.
-    pub batch: usize,
+    pub max_batch: usize,
 }
 
 /// A customer with a share of the service.
@@ -64,9 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
     /// Evenly, down to the late share at the deadline.
-    Line,
+    Linear,
     /// By half with each further aim, but not under the late share.
-    Halves,
+    Exponential,
 }
 
 /// What the weights of the endpoint list hold.
@@ -86,11 +86,11 @@
     /// Classes of message; events name them by index.
     pub classes: Vec<Class>,
     /// Kinds of destination; list entries name them by index.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestKind>,
     /// Customers; events name them by index.
     pub tenants: Vec<Tenant>,
     /// Worth of a message beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_value_factor: f64,
     /// How worth falls after the aim.
     pub decay: Decay,
     /// The zone of this sender.
@@ -100,38 +100,38 @@
     /// Calls that may be out at once.
     pub slots: usize,
     /// Messages that may be held, sent or not.
-    pub open_cap: usize,
+    pub max_held_messages: usize,
     /// Attempts that a message may have.
     pub max_attempts: usize,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// A message may have a second attempt out beside the first. Decisions never ask for that; hosts whose calls carry
     /// several messages must not bring it about.
-    pub second_copies: bool,
+    pub may_overlap_attempts: bool,
     /// Clients are told how long to wait after a refusal.
-    pub retry_after: bool,
+    pub may_send_retry_after: bool,
     /// The longest wait a client heeds.
     pub max_retry_after: Micros,
     /// The endpoint list answers only when asked.
-    pub ask: bool,
+    pub must_subscribe: bool,
     /// What the list's weights hold.
     pub weights: Weights,
     /// An idle connection closes after this time.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not ready by this time has failed.
     pub connect_timeout: Micros,
     /// Least time between two turns of the host.
-    pub round: Micros,
+    pub min_turn_interval: Micros,
     /// A returning destination falls over when sent more than this many times its present capacity.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// And for this long.
-    pub overload_for: Micros,
+    pub overload_duration: Micros,
     /// Share of its capacity that a destination has right after an outage.
-    pub start_capacity: f64,
+    pub initial_capacity_share: f64,
     /// After this time it has all of it again.
-    pub warm_after: Micros,
+    pub warm_up_duration: Micros,
     /// Rest of an ordered key after an attempt that may still run.
-    pub turn_gap: Micros,
+    pub ordered_key_gap: Micros,
 }
 
 /// How an attempt ended.
@@ -154,7 +154,7 @@
     Reset,
     /// Answered with what can't be read; it may have taken effect. Says nothing of the destination's health:
     /// it has worked and answered, and something on the way spoilt that.
-    Spoilt,
+    Malformed,
     /// Called off; it may have taken effect.
     Cancelled,
     /// Never sent by the host, for want of a slot or for another reason of its own.
@@ -170,11 +170,11 @@
 
 /// What a destination tells of its limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct LimitReport {
     /// Calls a second that the limit allows; `None` where there is no limit.
     pub limit: Option<f64>,
     /// Share of the limit's allowance that is left (0 to 1); `None` where that is not told or there is no limit.
-    pub left: Option<f64>,
+    pub remaining: Option<f64>,
 }
 
 /// What the list says of an endpoint.
@@ -190,7 +190,7 @@
 
 /// One line of the endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
@@ -207,7 +207,7 @@
 
 /// A message handed in.
 #[derive(Clone, Debug)]
-pub struct Submit {
+pub struct SubmittedMessage {
     /// Its number.
     pub id: MessageId,
     /// Index of its class.
@@ -217,27 +217,27 @@
     /// What it is about, where the class keeps an order.
     pub key: Option<String>,
     /// The client stops waiting then.
-    pub give_up_at: Micros,
+    pub expires_at: Micros,
     /// The destination.
     pub dest: DestId,
     /// What became of it before this start; nothing for a message that is new.
-    pub past: Past,
+    pub history: MessageHistory,
 }
 
 /// What is known of a message that an earlier process of this sender had taken on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Past {
+pub struct MessageHistory {
     /// Attempts that were made; further ones are numbered from here.
     pub attempts: usize,
     /// When the first attempt that may have run was sent, and the zone of its endpoint.
-    pub risk: Option<(Micros, usize)>,
+    pub first_possible_run: Option<(Micros, usize)>,
     /// It was taken on: it is tried, whatever the list says so far.
-    pub taken_on: bool,
+    pub was_accepted: bool,
 }
 
 /// The end of an attempt. Attempts of a message are numbered from 0 in the order of their sends.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// The message.
     pub id: MessageId,
     /// Which attempt.
@@ -249,7 +249,7 @@
     /// The message is over; nothing more is owed for it.
     pub finished: bool,
     /// What the destination told of its limit.
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     /// How long nothing may be sent there, where that was told beside another outcome than
     /// [`Outcome::Full`], which carries its own.
     pub wait: Option<Micros>,
@@ -265,25 +265,25 @@
     #[cfg(feature = "senders")]
     Senders(usize),
     /// A message was handed in; it is owed one final answer.
-    Submit(Submit),
+    Submit(SubmittedMessage),
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(EndedAttempt),
     /// A streamed answer has begun: the attempt belongs to the client now.
-    Started {
+    ResponseStarted {
         /// The message.
         id: MessageId,
     },
     /// The client is gone; nothing more is owed.
-    ClientLeft {
+    ClientDisconnected {
         /// The message.
         id: MessageId,
     },
     /// The whole endpoint list; what is missing is gone.
-    ListWhole(Vec<Entry>),
+    FullList(Vec<EndpointEntry>),
     /// The changed lines of the endpoint list.
-    ListChanges(Vec<Entry>),
+    ListChanges(Vec<EndpointEntry>),
     /// A subscription failed or broke; the old list stays.
-    ListBroken,
+    SubscriptionFailed,
     /// A moment asked for with [`Action::Wake`] has come.
     Wake,
     /// The host has handed in all it has for now. Sends are decided here.
@@ -293,7 +293,7 @@
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. Sends of one turn to one endpoint travel together, up to [`Kind::batch`].
+    /// Start an attempt. Sends of one turn to one endpoint travel together, up to [`DestKind::max_batch`].
     Send {
         /// The message.
         id: MessageId,
@@ -317,7 +317,7 @@
         /// The message.
         id: MessageId,
     },
-    /// Stop waiting for an attempt; it still gets its [`Ended`].
+    /// Stop waiting for an attempt; it still gets its [`EndedAttempt`].
     Cancel {
         /// The message.
         id: MessageId,
@@ -325,7 +325,7 @@
         attempt: usize,
     },
     /// Close the idle connections to an endpoint.
-    Close {
+    CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
@@ -345,27 +345,27 @@
             classes: Vec::new(),
             kinds: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            decay: Decay::Line,
+            over_quota_value_factor: 1.0,
+            decay: Decay::Linear,
             zone: 0,
             senders: 1,
             slots: usize::MAX,
-            open_cap: usize::MAX,
+            max_held_messages: usize::MAX,
             max_attempts: usize::MAX,
-            cancel: false,
-            second_copies: false,
-            retry_after: false,
+            may_cancel: false,
+            may_overlap_attempts: false,
+            may_send_retry_after: false,
             max_retry_after: 0,
-            ask: false,
+            must_subscribe: false,
             weights: Weights::Off,
-            idle_close: 0,
+            idle_timeout: 0,
             connect_timeout: 0,
-            round: 0,
-            fall_multiple: 1.0,
-            overload_for: 0,
-            start_capacity: 0.0,
-            warm_after: 0,
-            turn_gap: 0,
+            min_turn_interval: 0,
+            overload_factor: 1.0,
+            overload_duration: 0,
+            initial_capacity_share: 0.0,
+            warm_up_duration: 0,
+            ordered_key_gap: 0,
         }
     }
 }
--- a/crates/policy/src/balancer/admission.rs
+++ b/crates/policy/src/balancer/admission.rs
@@ -29,7 +29,8 @@
 
     pub(super) fn dest_falters(&self, dest: DestId, now: Micros) -> bool {
         let Some(d) = self.dests.get(&dest) else { return false };
-        let mut routes = d.endpoints.iter().filter(|_| d.kind.routes_apart).map(|t| &self.endpoints[t].scope);
+        let mut routes =
+            d.endpoints.iter().filter(|_| d.kind.independent_endpoints).map(|t| &self.endpoints[t].scope);
         d.scope.falters(now, &self.e) || routes.any(|scope| scope.falters(now, &self.e))
     }
 
@@ -85,11 +86,11 @@
         for endpoint in std::mem::take(&mut self.used) {
             let Some(t) = self.endpoints.get(&endpoint) else { continue };
             let d = &self.dests[&t.dest];
-            let scope = if d.kind.routes_apart { &t.scope } else { &d.scope };
+            let scope = if d.kind.independent_endpoints { &t.scope } else { &d.scope };
             let busy = scope.own_rate(now, &e) * scope.usual / SECOND;
             if now < self.crowded_until && busy < few && !t.idle.is_empty() {
                 self.endpoints.get_mut(&endpoint).expect("just seen").idle.clear();
-                actions.push(Action::Close { endpoint });
+                actions.push(Action::CloseIdle { endpoint });
             }
         }
     }
@@ -108,18 +109,18 @@
     /// Slots for all: with every slot taken, calls long overdue give back all but a few, those that may be
     /// repeated first. One that must not run twice is lost by that, so its call is given half an aim more.
     pub(super) fn reclaim(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if self.calls.len() < self.e.s.slots || self.waiting.is_empty() || !self.e.s.cancel {
+        if self.calls.len() < self.e.s.slots || self.waiting.is_empty() || !self.e.s.may_cancel {
             return;
         }
         // By call: whether something in it must not run twice, when it was sent, how late it may be.
         let mut out: BTreeMap<u64, (bool, Micros, Micros)> = BTreeMap::new();
         for a in self.attempts.values().filter(|a| !a.cancelled) {
             let (d, t) = (&self.dests[&a.dest], &self.endpoints[&a.endpoint]);
-            let scope = if d.kind.routes_apart { &t.scope } else { &d.scope };
+            let scope = if d.kind.independent_endpoints { &t.scope } else { &d.scope };
             let call = out.entry(a.call).or_insert((false, a.sent, scope.patience(&self.e)));
             call.0 |= self.e.s.classes[a.class].effect == Effect::Unsafe;
         }
-        let extra = |once: bool| if once { self.e.aim as Micros / 2 } else { 0 };
+        let extra = |once: bool| if once { self.e.target_latency as Micros / 2 } else { 0 };
         let late = out.into_iter().filter(|(_, (once, sent, late))| now - sent > late + extra(*once));
         let mut stuck: Vec<(bool, Micros, u64)> =
             late.map(|(call, (once, sent, _))| (once, sent, call)).collect();
--- a/crates/policy/src/balancer/hold.rs
+++ b/crates/policy/src/balancer/hold.rs
@@ -3,13 +3,13 @@
 use super::env::SECOND;
 use super::scope::Scope;
 use super::state::{Balancer, Dest, Message, Place};
-use crate::api::{Action, Decay, Effect, MessageId, Micros, Past, Submit};
+use crate::api::{Action, Decay, Effect, MessageHistory, MessageId, Micros, SubmittedMessage};
 
 /// Held messages are shed once the Nth part of `openCap` is left.
 const SHED_PART: usize = 32;
 
 impl Balancer {
-    pub(super) fn submit(&mut self, now: Micros, m: Submit, actions: &mut Vec<Action>) {
+    pub(super) fn submit(&mut self, now: Micros, m: SubmittedMessage, actions: &mut Vec<Action>) {
         let e = self.e.clone();
         if self.messages.contains_key(&m.id) {
             return;
@@ -18,9 +18,11 @@
             return actions.push(Action::Refuse { id: m.id, wait: 0 });
         };
         // Nothing is kept for a destination that the list has never named: anybody may name any number.
-        if m.past.attempts == 0 && !m.past.taken_on && !self.dests.contains_key(&m.dest) {
-            return actions
-                .push(Action::Refuse { id: m.id, wait: e.s.max_retry_after.clamp(0, e.aim as Micros) });
+        if m.history.attempts == 0 && !m.history.was_accepted && !self.dests.contains_key(&m.dest) {
+            return actions.push(Action::Refuse {
+                id: m.id,
+                wait: e.s.max_retry_after.clamp(0, e.target_latency as Micros),
+            });
         }
         let mut over = false;
         if let Some((tenant, seen)) = m.tenant.and_then(|t| e.s.tenants.get(t).zip(self.tenants.get_mut(t))) {
@@ -30,10 +32,20 @@
         self.dests.get_mut(&m.dest).into_iter().for_each(|d| d.scope.handed_in.add(now, e.warm));
         let (id, key) = (m.id, m.key.clone().filter(|_| c.ordered));
         // A client that comes with less patience than the aim is on time until it leaves.
-        let due = m.give_up_at - if m.give_up_at - now > c.aim { c.deadline - c.aim } else { 0 };
-        let m = Submit { key: key.clone(), ..m };
-        let Past { attempts, risk, .. } = m.past;
-        let held = Message { m, over, due, alarm: now, attempts, place: Place::Turn, risk, started: false };
+        let due = m.expires_at
+            - if m.expires_at - now > c.target_latency { c.deadline - c.target_latency } else { 0 };
+        let m = SubmittedMessage { key: key.clone(), ..m };
+        let MessageHistory { attempts, first_possible_run, .. } = m.history;
+        let held = Message {
+            m,
+            over,
+            due,
+            alarm: now,
+            attempts,
+            place: Place::Turn,
+            first_possible_run,
+            started: false,
+        };
         self.messages.insert(id, held);
         self.set_alarm(id);
         if self.spent(&self.messages[&id]) {
@@ -46,7 +58,7 @@
             }
             None => self.enqueue(now, id),
         }
-        if self.messages.len() + e.s.open_cap / SHED_PART > e.s.open_cap {
+        if self.messages.len() + e.s.max_held_messages / SHED_PART > e.s.max_held_messages {
             self.shed(now, actions);
         }
     }
@@ -54,9 +66,9 @@
     /// No send after this: too late for an answer, or the destination may have forgotten the key.
     pub(super) fn sendable_until(&self, m: &Message) -> Micros {
         let usual = self.dests.get(&m.m.dest).map_or(0.0, |d| d.scope.usual);
-        let way = (usual.max(self.e.aim / 16.0) / 2.0) as Micros;
-        let end = m.m.give_up_at - (usual / 2.0) as Micros - 3 * self.e.tick;
-        match (self.e.s.classes[m.m.class].effect, m.risk) {
+        let way = (usual.max(self.e.target_latency / 16.0) / 2.0) as Micros;
+        let end = m.m.expires_at - (usual / 2.0) as Micros - 3 * self.e.tick;
+        match (self.e.s.classes[m.m.class].effect, m.first_possible_run) {
             // The key's life counts from the first attempt that may have run; this one has a way to go.
             (Effect::Keyed { life, .. }, Some((first, _))) => end.min(first + life - way),
             _ => end,
@@ -66,7 +78,7 @@
     /// No further attempt is allowed, by count or because an unsafe one may have run.
     pub(super) fn spent(&self, m: &Message) -> bool {
         let once = self.e.s.classes[m.m.class].effect == Effect::Unsafe;
-        (once && m.risk.is_some()) || m.attempts >= self.e.s.max_attempts
+        (once && m.first_possible_run.is_some()) || m.attempts >= self.e.s.max_attempts
     }
 
     pub(super) fn set_alarm(&mut self, id: MessageId) {
@@ -133,11 +145,11 @@
     pub(super) fn give_back(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
         let Some(m) = self.messages.get(&id) else { return };
         let safe = self.e.s.classes[m.m.class].effect == Effect::Safe;
-        if m.place == Place::Out || (m.risk.is_some() && !safe) {
+        if m.place == Place::Out || (m.first_possible_run.is_some() && !safe) {
             actions.push(Action::Fail { id });
         } else {
             let wait = self.dests.get(&m.m.dest).map_or(0, |d| d.scope.wait_until - now);
-            let most = if self.e.s.retry_after { self.e.s.max_retry_after.max(0) } else { 0 };
+            let most = if self.e.s.may_send_retry_after { self.e.s.max_retry_after.max(0) } else { 0 };
             actions.push(Action::Refuse { id, wait: wait.clamp(0, most) });
         }
         self.forget(now, id);
@@ -160,9 +172,14 @@
         let c = &self.e.s.classes[m.m.class];
         let late = (at - m.due).max(0) as f64;
         let part = match self.e.s.decay {
-            Decay::Halves if c.aim > 0 => (-late / c.aim as f64).exp2().max(c.late_share),
-            _ => 1.0 - (1.0 - c.late_share) * (late / (m.m.give_up_at - m.due).max(1) as f64).min(1.0),
+            Decay::Exponential if c.target_latency > 0 => {
+                (-late / c.target_latency as f64).exp2().max(c.deadline_value_share)
+            }
+            _ => {
+                1.0 - (1.0 - c.deadline_value_share)
+                    * (late / (m.m.expires_at - m.due).max(1) as f64).min(1.0)
+            }
         };
-        c.worth.max(0.0).sqrt() * part * if m.over { self.e.s.over_share_worth } else { 1.0 }
+        c.value.max(0.0).sqrt() * part * if m.over { self.e.s.over_quota_value_factor } else { 1.0 }
     }
 }
--- a/crates/policy/src/balancer/list.rs
+++ b/crates/policy/src/balancer/list.rs
@@ -2,11 +2,11 @@
 
 use super::scope::Scope;
 use super::state::{Balancer, Dest, Endpoint};
-use crate::api::{Entry, Listing, Micros, Weights};
+use crate::api::{EndpointEntry, Listing, Micros, Weights};
 
 impl Balancer {
     /// Only what is listed as serving gets anything new, from the moment it is heard.
-    pub(super) fn list(&mut self, now: Micros, entries: Vec<Entry>) {
+    pub(super) fn list(&mut self, now: Micros, entries: Vec<EndpointEntry>) {
         self.broken = 0;
         for entry in entries {
             let new = || Dest { scope: Scope::new(now, &mut self.seed), ..Dest::default() };
@@ -24,7 +24,7 @@
             let _ = if serves { dest.endpoints.insert(id) } else { dest.endpoints.remove(&id) };
             let since = self.gone.remove(&id).unwrap_or(now);
             self.gone.extend((entry.listing == Listing::Deleted).then_some((id, since)));
-            let scope = if dest.kind.routes_apart { &mut endpoint.scope } else { &mut dest.scope };
+            let scope = if dest.kind.independent_endpoints { &mut endpoint.scope } else { &mut dest.scope };
             if self.e.s.weights != Weights::Off && entry.weight > 0.0 {
                 scope.listed = entry.weight;
             }
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -23,7 +23,7 @@
 impl Balancer {
     /// A sender that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (ask, tenants) = (settings.ask, settings.tenants.len());
+        let (ask, tenants) = (settings.must_subscribe, settings.tenants.len());
         Balancer {
             e: Arc::new(Env::new(settings)),
             seed: seed | 1,
@@ -39,10 +39,12 @@
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Submit(m) => self.submit(now, m, actions),
-            Event::Ended(ended) => self.ended(now, ended, actions),
-            Event::Started { id } => self.messages.get_mut(&id).into_iter().for_each(|m| m.started = true),
-            Event::ClientLeft { id } => self.forget(now, id),
-            Event::ListWhole(entries) => {
+            Event::AttemptEnded(ended) => self.ended(now, ended, actions),
+            Event::ResponseStarted { id } => {
+                self.messages.get_mut(&id).into_iter().for_each(|m| m.started = true)
+            }
+            Event::ClientDisconnected { id } => self.forget(now, id),
+            Event::FullList(entries) => {
                 self.dests.values_mut().for_each(|d| d.endpoints.clear());
                 for id in self.endpoints.keys() {
                     self.gone.entry(*id).or_insert(now);
@@ -50,9 +52,9 @@
                 self.list(now, entries);
             }
             Event::ListChanges(entries) => self.list(now, entries),
-            Event::ListBroken => {
+            Event::SubscriptionFailed => {
                 self.broken += 1;
-                let gap = (self.e.aim as Micros / 8) << self.broken.min(4);
+                let gap = (self.e.target_latency as Micros / 8) << self.broken.min(4);
                 self.subscribe_at = Some(now + gap / 2 + (gap as f64 * chance(&mut self.seed)) as Micros);
             }
             Event::Quotas(quotas) => {
--- a/crates/policy/src/balancer/outcomes.rs
+++ b/crates/policy/src/balancer/outcomes.rs
@@ -3,7 +3,7 @@
 use super::env::Env;
 use super::scope::{PACE_GAIN, State};
 use super::state::{Attempt, Balancer, Endpoint, Place};
-use crate::api::{Action, DestId, Ended, EndpointId, Micros, Outcome};
+use crate::api::{Action, DestId, EndedAttempt, EndpointId, Micros, Outcome};
 use crate::fading::chance;
 
 /// The first further attempt after one that may have run waits the Nth part of the aim; then doubled.
@@ -15,13 +15,13 @@
 impl Endpoint {
     /// Others of its destination go first for a while, longer with each failure in a row.
     fn avoid(&mut self, now: Micros, e: &Env) {
-        self.avoid_until = now + ((e.s.warm_after / AVOID_PART) << self.fails.min(AVOID_DOUBLED));
+        self.avoid_until = now + ((e.s.warm_up_duration / AVOID_PART) << self.fails.min(AVOID_DOUBLED));
         self.fails += 1;
     }
 }
 
 impl Balancer {
-    pub(super) fn ended(&mut self, now: Micros, end: Ended, actions: &mut Vec<Action>) {
+    pub(super) fn ended(&mut self, now: Micros, end: EndedAttempt, actions: &mut Vec<Action>) {
         let Some(a) = self.attempts.remove(&(end.id, end.attempt)) else { return };
         // A wait told to one message binds every message there.
         let full = if let Outcome::Full { wait } = end.outcome { wait } else { None };
@@ -33,7 +33,7 @@
         if let Some(t) = a.key.as_ref().and_then(|key| self.turns.get_mut(key)) {
             t.out = t.out.saturating_sub(1);
             if matches!(end.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-                t.rest_until = t.rest_until.max(now + self.e.s.turn_gap);
+                t.rest_until = t.rest_until.max(now + self.e.s.ordered_key_gap);
             }
         }
         if end.finished || end.outcome == Outcome::Delivered {
@@ -47,11 +47,11 @@
     }
 
     /// A further attempt, if the class and the attempts left allow one.
-    pub(super) fn again(&mut self, now: Micros, a: &Attempt, end: &Ended, actions: &mut Vec<Action>) {
+    pub(super) fn again(&mut self, now: Micros, a: &Attempt, end: &EndedAttempt, actions: &mut Vec<Action>) {
         let (e, id, zone) = (self.e.clone(), end.id, self.endpoints[&a.endpoint].zone);
         let m = self.messages.get_mut(&id).expect("checked by the caller");
-        if !end.outcome.never_ran() && m.risk.is_none() {
-            m.risk = Some((a.sent, zone));
+        if !end.outcome.never_ran() && m.first_possible_run.is_none() {
+            m.first_possible_run = Some((a.sent, zone));
         }
         m.place = Place::Turn;
         self.set_alarm(id);
@@ -59,13 +59,13 @@
         if now >= m.alarm || self.spent(m) {
             return self.give_back(now, id, actions);
         }
-        let step = (e.aim as Micros / RETRY_PART) << (m.attempts - 1).min(4);
+        let step = (e.target_latency as Micros / RETRY_PART) << (m.attempts - 1).min(4);
         let delay = if end.outcome.never_ran() { 0 } else { step };
         if delay > 0 { self.park(id, now + delay) } else { self.enqueue(now, id) }
     }
 
     /// Books the end of a call: slot, count and connection; then it is judged.
-    pub(super) fn call_ended(&mut self, now: Micros, a: &Attempt, end: &Ended) {
+    pub(super) fn call_ended(&mut self, now: Micros, a: &Attempt, end: &EndedAttempt) {
         let left = self.calls.get_mut(&a.call).expect("an attempt belongs to a call");
         *left -= 1;
         if *left > 0 {
@@ -85,7 +85,7 @@
         t.out = t.out.saturating_sub(1);
         if matches!(end.outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. }) {
             t.idle.push_back(now);
-            t.idle.retain(|at| now - at < e.s.idle_close);
+            t.idle.retain(|at| now - at < e.s.idle_timeout);
             self.used.insert(a.endpoint);
         }
         let at_once = end.outcome == Outcome::ConnectFailed && end.elapsed < e.s.connect_timeout / 2;
@@ -103,14 +103,17 @@
                     return;
                 }
             }
-            Outcome::Full { .. } | Outcome::NotSent | Outcome::Spoilt => {}
+            Outcome::Full { .. } | Outcome::NotSent | Outcome::Malformed => {}
             // Turned away at once by one that has just served, or while others may: a full table once a wave.
-            _ if at_once && (others || t.served_at.is_some_and(|at| now - at < e.aim as Micros / 2)) => {
+            _ if at_once
+                && (others || t.served_at.is_some_and(|at| now - at < e.target_latency as Micros / 2)) =>
+            {
                 if t.crowded == 0 || now - end.elapsed >= t.closed_until {
                     t.crowded = (t.crowded + 1).min(6);
-                    let wait = e.aim / 16.0 * f64::from(1 << t.crowded) * (0.5 + chance(&mut self.seed));
+                    let wait =
+                        e.target_latency / 16.0 * f64::from(1 << t.crowded) * (0.5 + chance(&mut self.seed));
                     // Not beyond the time in which it counts as just served: an outage must not go by unseen.
-                    let seen = t.served_at.unwrap_or(now) + e.aim as Micros / 2;
+                    let seen = t.served_at.unwrap_or(now) + e.target_latency as Micros / 2;
                     t.closed_until = (now + wait as Micros).min(if others { Micros::MAX } else { seen });
                 }
                 return;
@@ -128,7 +131,7 @@
         d.scope.state == State::Open && others.any(|id| well(&self.endpoints[id]))
     }
 
-    pub(super) fn judge(&mut self, now: Micros, dest: DestId, endpoint: EndpointId, end: &Ended) {
+    pub(super) fn judge(&mut self, now: Micros, dest: DestId, endpoint: EndpointId, end: &EndedAttempt) {
         let (e, kind) = (self.e.clone(), self.dests[&dest].kind);
         let scope = self.scope(dest, endpoint);
         end.report.into_iter().for_each(|report| scope.told(report, now, kind, &e));
@@ -136,7 +139,7 @@
             Outcome::Delivered => scope.delivered(now, end.elapsed as f64, &e),
             Outcome::Full { wait } => scope.refused(now, now - end.elapsed, wait, &e),
             // Nobody's health shows in an answer that was spoilt on its way.
-            Outcome::NotSent | Outcome::Spoilt => {}
+            Outcome::NotSent | Outcome::Malformed => {}
             outcome => scope.failed(now, outcome, &e),
         }
     }
--- a/crates/policy/src/balancer/scope.rs
+++ b/crates/policy/src/balancer/scope.rs
@@ -2,7 +2,7 @@
 //! and how it comes back from an outage.
 
 use super::env::{Env, SECOND, UNEVEN};
-use crate::api::{Kind, Micros, Outcome, Report};
+use crate::api::{DestKind, LimitReport, Micros, Outcome};
 use crate::fading::{Fading, chance};
 use std::collections::BTreeMap;
 
@@ -115,7 +115,7 @@
 
     /// Calls a second of this sender, over the span of warming or since it started.
     pub(super) fn own_rate(&self, now: Micros, e: &Env) -> f64 {
-        let age = ((now - self.born) as f64).max(e.aim);
+        let age = ((now - self.born) as f64).max(e.target_latency);
         self.long.get(now, e.warm) * SECOND / (e.warm * (1.0 - (-age / e.warm).exp()))
     }
 
@@ -137,7 +137,7 @@
 
     /// Age from which a call is overdue.
     pub(super) fn patience(&self, e: &Env) -> Micros {
-        (OVERDUE_TIMES * self.usual).max(e.aim / 2.0) as Micros
+        (OVERDUE_TIMES * self.usual).max(e.target_latency / 2.0) as Micros
     }
 
     pub(super) fn overdue(&self, now: Micros, e: &Env) -> usize {
@@ -153,14 +153,14 @@
     }
 
     /// A limit and what is left of it, as an answer told it.
-    pub(super) fn told(&mut self, report: Report, at: Micros, kind: Kind, e: &Env) {
+    pub(super) fn told(&mut self, report: LimitReport, at: Micros, kind: DestKind, e: &Env) {
         if let Some(limit) = report.limit.filter(|l| self.believes(*l)) {
             // A limit that was lowered or raised is so for all who share it, at once.
             let moved = |c: f64| self.limit.map(|l| l * (limit / c).powf(e.others));
             self.limit = self.ceiling.map_or(Some(limit * e.first_of(kind)), moved);
             self.ceiling = Some(limit);
         }
-        let Some(left) = report.left else { return };
+        let Some(left) = report.remaining else { return };
         self.left = Some((left, at));
         if left < LEFT_LITTLE {
             let dt = ((at - self.adjusted_at) as f64 / SECOND).clamp(0.0, 1.0);
@@ -184,8 +184,8 @@
         let limit = self.limit.map(|l| (l * eased).max(e.least / 4.0));
         let State::Warming(since) = self.state else { return limit.map(|l| (l, BURST_S)) };
         let part = ((now - since) as f64 / e.warm).min(1.0);
-        let warm = e.s.start_capacity + (1.0 - e.s.start_capacity) * part;
-        let rate = (e.s.fall_multiple * warm * self.base * self.boost).max(e.least / 4.0);
+        let warm = e.s.initial_capacity_share + (1.0 - e.s.initial_capacity_share) * part;
+        let rate = (e.s.overload_factor * warm * self.base * self.boost).max(e.least / 4.0);
         Some((limit.map_or(rate, |l| l.min(rate)), 0.0))
     }
 
@@ -219,9 +219,9 @@
 
     /// Trials stay within what the destination could bear had it come back just now.
     pub(super) fn plan_trial(&mut self, now: Micros, e: &Env) {
-        let rate = e.s.fall_multiple * e.s.start_capacity * self.base;
+        let rate = e.s.overload_factor * e.s.initial_capacity_share * self.base;
         let most = e.warm / 4.0 / e.part;
-        let gap = (SECOND / rate.max(e.least / 4.0)).clamp(e.aim / 16.0, most);
+        let gap = (SECOND / rate.max(e.least / 4.0)).clamp(e.target_latency / 16.0, most);
         // Many know of one outage, or were told one end of it: the first trial falls by chance in its gap.
         let later = if matches!(self.state, State::Outage(_)) { 0.5 } else { 0.0 };
         let part = if e.part < 0.5 { later + chance(&mut self.seed) } else { 1.0 };
@@ -245,7 +245,7 @@
         self.usual = gain(self.usual, USUAL_GAIN);
         self.pace = gain(self.pace, PACE_GAIN);
         // Where calls gather messages, pace is of no use until they go full or rarely.
-        if let Some(l) = self.limit.filter(|l| self.full || SECOND / l > e.aim / 4.0) {
+        if let Some(l) = self.limit.filter(|l| self.full || SECOND / l > e.target_latency / 4.0) {
             let dt = ((now - self.adjusted_at) as f64 / SECOND).clamp(0.0, e.warm / SECOND);
             // Where nothing bounds it from above, each delivery shows room: at many calls a second by time
             // alone a few refusals would hold for a long while.
@@ -260,7 +260,7 @@
             // Senders are uneven: while there is room, one goes towards what is asked of it, in about an aim.
             let room = (self.left(now) / LEFT_EVEN - 1.0).max(0.0) * e.others.powi(3);
             let more = (self.handed_in.get(now, e.warm) * SECOND / e.warm - l).max(0.0);
-            let grown = grown + more * room * (dt * SECOND / e.aim).min(1.0);
+            let grown = grown + more * room * (dt * SECOND / e.target_latency).min(1.0);
             self.limit = Some(self.ceiling.map_or(grown, |c| grown.min(c)));
             self.adjusted_at = now;
         }
@@ -276,7 +276,7 @@
             State::Warming(since) if (now - since) as f64 > e.warm => self.state = State::Open,
             State::Warming(_) if took < ROOM_TIMES * self.usual => {
                 // All of the budget where it is told; else no more than warmth makes of what it took before.
-                let most = if self.is_told() { 1.0 } else { 1.0 / e.s.start_capacity };
+                let most = if self.is_told() { 1.0 } else { 1.0 / e.s.initial_capacity_share };
                 self.boost = (self.boost * GROW).min(most);
             }
             _ => {}
@@ -284,7 +284,7 @@
     }
 
     /// Share of what is sent there that may run and is not delivered: what must not run twice is lost then.
-    pub(super) fn risk(&self, now: Micros, e: &Env) -> f64 {
+    pub(super) fn loss_share(&self, now: Micros, e: &Env) -> f64 {
         let spent = self.spent.get(now, e.health);
         spent / (spent + self.good.get(now, e.health) + PRIOR_GOOD)
     }
@@ -296,7 +296,7 @@
         }
         let bad = self.bad.get(now, e.health);
         let few = (self.own_rate(now, e) * e.health / SECOND / 2.0).max(OUTAGE_FAILS * e.part);
-        let lately = now - self.last_good < e.aim as Micros / 2;
+        let lately = now - self.last_good < e.target_latency as Micros / 2;
         if bad >= OUTAGE_FAILS.min(few) && (!lately || bad > self.good.get(now, e.health)) {
             self.enter_outage(now, e);
         }
@@ -332,7 +332,7 @@
             // Refused calls may use up the limit: each wave doubles the wait, and none come back together.
             // Trials of an outage are spaced as it is.
             let spaced = SECOND / self.limit.unwrap_or(e.least).max(e.least / 4.0);
-            let most = e.aim * (1.0 / e.part).min(4.0);
+            let most = e.target_latency * (1.0 / e.part).min(4.0);
             let own = (spaced * f64::from(1u32 << self.refusals.min(4)) / 2.0).min(most);
             let part = if e.part < 0.5 { 0.5 + chance(&mut self.seed) } else { 1.0 };
             self.wait_until = self.wait_until.max(now + (own * part) as Micros);
--- a/crates/policy/src/balancer/state.rs
+++ b/crates/policy/src/balancer/state.rs
@@ -2,14 +2,14 @@
 
 use super::env::Env;
 use super::scope::Scope;
-use crate::api::{DestId, EndpointId, Kind, MessageId, Micros, Submit};
+use crate::api::{DestId, DestKind, EndpointId, MessageId, Micros, SubmittedMessage};
 use crate::fading::Fading;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 #[derive(Default)]
 pub(super) struct Dest {
-    pub(super) kind: Kind,
+    pub(super) kind: DestKind,
     pub(super) endpoints: BTreeSet<EndpointId>,
     /// Messages ready to go, by class and by whether their tenant is over its share; earliest aim first.
     pub(super) lanes: BTreeMap<(usize, bool), BTreeSet<(Micros, MessageId)>>,
@@ -45,14 +45,14 @@
 }
 
 pub(super) struct Message {
-    pub(super) m: Submit,
+    pub(super) m: SubmittedMessage,
     pub(super) over: bool,
     pub(super) due: Micros,
     pub(super) alarm: Micros,
     pub(super) attempts: usize,
     pub(super) place: Place,
     /// When the first attempt that may have run was sent, and its zone.
-    pub(super) risk: Option<(Micros, usize)>,
+    pub(super) first_possible_run: Option<(Micros, usize)>,
     pub(super) started: bool,
 }
 
@@ -110,7 +110,7 @@
     /// Waits, limits, health and slow start hold for a destination, or route by route.
     pub(super) fn scope(&mut self, dest: DestId, endpoint: EndpointId) -> &mut Scope {
         let d = self.dests.get_mut(&dest).expect("only known destinations are sent to");
-        if !d.kind.routes_apart {
+        if !d.kind.independent_endpoints {
             return &mut d.scope;
         }
         &mut self.endpoints.get_mut(&endpoint).expect("only known endpoints are sent to").scope
--- a/crates/policy/src/balancer/timers.rs
+++ b/crates/policy/src/balancer/timers.rs
@@ -12,7 +12,7 @@
         while let Some(&(at, id)) = self.alarms.first().filter(|(at, _)| *at <= now) {
             self.alarms.remove(&(at, id));
             let m = self.messages.get_mut(&id).expect("alarms go with their message");
-            let latest = m.m.give_up_at - 2 * self.e.tick;
+            let latest = m.m.expires_at - 2 * self.e.tick;
             if m.place == Place::Out && latest > now {
                 m.alarm = latest;
                 self.alarms.insert((latest, id));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,18 +11,18 @@
 //!     effect: Effect::Unsafe,
 //!     aim: 3_000_000,
 //!     deadline: 16_000_000,
-//!     worth: 1.0,
-//!     late_share: 0.3,
+//!     value: 1.0,
+//!     deadline_value_share: 0.3,
 //!     ordered: false,
 //! };
-//! let kinds = vec![Kind { routes_apart: false, batch: 1 }];
+//! let kinds = vec![DestKind { independent_endpoints: false, max_batch: 1 }];
 //! let settings = Settings { classes: vec![class], kinds, ..Settings::default() };
 //! let mut sender = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let endpoint = Entry { endpoint: 4, dest: 1, zone: 0, kind: 0, listing: Listing::Serving, weight: 0.0 };
-//! sender.on_event(0, Event::ListWhole(vec![endpoint]), &mut actions);
-//! let past = Past::default();
-//! let message = Submit { id: 0, class: 0, tenant: None, key: None, give_up_at: 16_000_000, dest: 1, past };
+//! let endpoint = EndpointEntry { endpoint: 4, dest: 1, zone: 0, kind: 0, listing: Listing::Serving, weight: 0.0 };
+//! sender.on_event(0, Event::FullList(vec![endpoint]), &mut actions);
+//! let history = MessageHistory::default();
+//! let message = SubmittedMessage { id: 0, class: 0, tenant: None, key: None, expires_at: 16_000_000, dest: 1, history };
 //! sender.on_event(0, Event::Submit(message), &mut actions);
 //! sender.on_event(0, Event::TurnEnd, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 0, endpoint: 4, .. })));
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,7 +8,14 @@
 pub const SEC: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: 3 * SEC, deadline: 16 * SEC, worth: 1.0, late_share: 0.3, ordered: false }
+    Class {
+        effect,
+        target_latency: 3 * SEC,
+        deadline: 16 * SEC,
+        value: 1.0,
+        deadline_value_share: 0.3,
+        ordered: false,
+    }
 }
 
 /// Classes: 0 safe, 1 keyed (life 5 s), 2 unsafe, 3 safe and ordered. Kinds: 0 plain, 1 routes apart, 2 batches.
@@ -22,29 +29,29 @@
             ordered,
         ],
         kinds: vec![
-            Kind { routes_apart: false, batch: 1 },
-            Kind { routes_apart: true, batch: 1 },
-            Kind { routes_apart: false, batch: 20 },
+            DestKind { independent_endpoints: false, max_batch: 1 },
+            DestKind { independent_endpoints: true, max_batch: 1 },
+            DestKind { independent_endpoints: false, max_batch: 20 },
         ],
         slots: 8,
-        open_cap: 200,
+        max_held_messages: 200,
         max_attempts: 6,
-        retry_after: true,
+        may_send_retry_after: true,
         max_retry_after: 3 * SEC,
         senders: 2,
-        idle_close: 5 * SEC,
-        round: 5 * MS,
-        fall_multiple: 2.0,
-        overload_for: 3 * SEC,
-        start_capacity: 0.2,
-        warm_after: 12 * SEC,
-        turn_gap: SEC,
+        idle_timeout: 5 * SEC,
+        min_turn_interval: 5 * MS,
+        overload_factor: 2.0,
+        overload_duration: 3 * SEC,
+        initial_capacity_share: 0.2,
+        warm_up_duration: 12 * SEC,
+        ordered_key_gap: SEC,
         ..Settings::default()
     }
 }
 
-pub fn entry(endpoint: EndpointId, dest: DestId, kind: usize) -> Entry {
-    Entry { endpoint, dest, zone: 0, kind, listing: Listing::Serving, weight: 1.0 }
+pub fn entry(endpoint: EndpointId, dest: DestId, kind: usize) -> EndpointEntry {
+    EndpointEntry { endpoint, dest, zone: 0, kind, listing: Listing::Serving, weight: 1.0 }
 }
 
 pub struct Rig {
@@ -53,9 +60,9 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let mut rig = Rig { sender: Balancer::new(settings, 7), now: 100 * SEC };
-        rig.turn(vec![Event::ListWhole(entries)]);
+        rig.turn(vec![Event::FullList(entries)]);
         rig
     }
 
@@ -82,34 +89,34 @@
     }
 
     pub fn submit(&mut self, id: MessageId, class: usize, dest: DestId) -> Vec<Action> {
-        let give_up_at = self.now + 16 * SEC;
-        self.turn(vec![Event::Submit(Submit {
+        let expires_at = self.now + 16 * SEC;
+        self.turn(vec![Event::Submit(SubmittedMessage {
             id,
             class,
             tenant: None,
             key: None,
-            give_up_at,
+            expires_at,
             dest,
-            past: Past::default(),
+            history: MessageHistory::default(),
         })])
     }
 
     pub fn keyed(&mut self, id: MessageId, key: &str, dest: DestId) -> Vec<Action> {
-        let (key, give_up_at) = (Some(key.to_owned()), self.now + 16 * SEC);
-        self.turn(vec![Event::Submit(Submit {
+        let (key, expires_at) = (Some(key.to_owned()), self.now + 16 * SEC);
+        self.turn(vec![Event::Submit(SubmittedMessage {
             id,
             class: 3,
             tenant: None,
             key,
-            give_up_at,
+            expires_at,
             dest,
-            past: Past::default(),
+            history: MessageHistory::default(),
         })])
     }
 
     pub fn ended(&mut self, id: MessageId, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
         let finished = outcome == Outcome::Delivered;
-        self.turn(vec![Event::Ended(Ended {
+        self.turn(vec![Event::AttemptEnded(EndedAttempt {
             id,
             attempt,
             outcome,
--- a/crates/policy/tests/fleet/destination.rs
+++ b/crates/policy/tests/fleet/destination.rs
@@ -44,14 +44,14 @@
     /// When each idle or busy connection was last used, by sender; and how many there may be.
     connections: BTreeMap<usize, Micros>,
     pub most_connections: usize,
-    idle_close: Micros,
+    idle_timeout: Micros,
     /// Calls that came after the outage, and whether their sender had seen it.
     pushed: Vec<(Micros, bool)>,
     pub connects_refused: usize,
 }
 
 impl Destination {
-    pub fn new(rate: f64, now: Micros, idle_close: Micros) -> Self {
+    pub fn new(rate: f64, now: Micros, idle_timeout: Micros) -> Self {
         Destination {
             rate,
             depth: rate * 0.6,
@@ -63,7 +63,7 @@
             mute: false,
             connections: BTreeMap::new(),
             most_connections: usize::MAX,
-            idle_close,
+            idle_timeout,
             pushed: Vec::new(),
             connects_refused: 0,
         }
@@ -81,7 +81,7 @@
     }
 
     /// Takes a call from a sender; `saw` if that has seen the outage. Gives its outcome and what the answer tells.
-    pub fn call(&mut self, now: Micros, sender: usize, saw: bool) -> (Outcome, Option<Report>) {
+    pub fn call(&mut self, now: Micros, sender: usize, saw: bool) -> (Outcome, Option<LimitReport>) {
         if self.is_down(now) {
             let outcome = match self.down {
                 Down::Refuses => Outcome::ConnectFailed,
@@ -92,8 +92,8 @@
             self.connections.clear();
             return (outcome, None);
         }
-        let idle_close = self.idle_close;
-        self.connections.retain(|_, used| now - *used < idle_close);
+        let idle_timeout = self.idle_timeout;
+        self.connections.retain(|_, used| now - *used < idle_timeout);
         if !self.connections.contains_key(&sender) && self.connections.len() >= self.most_connections {
             self.connects_refused += 1;
             return (Outcome::ConnectFailed, None);
@@ -113,7 +113,7 @@
         // A debt of one depth is the most that is remembered.
         self.level = (self.level - 1.0).max(-self.depth);
         let outcome = if taken { Outcome::Delivered } else { Outcome::Full { wait: None } };
-        (outcome, Some(Report { limit: Some(self.rate), left: Some(self.left.0) }))
+        (outcome, Some(LimitReport { limit: Some(self.rate), remaining: Some(self.left.0) }))
     }
 
     pub fn close(&mut self, sender: usize) {
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -84,32 +84,32 @@
     let senders = scene.senders;
     let class = |effect| Class {
         effect,
-        aim: 3 * SEC,
+        target_latency: 3 * SEC,
         deadline: 12 * SEC,
-        worth: 1.0,
-        late_share: 0.5,
+        value: 1.0,
+        deadline_value_share: 0.5,
         ordered: false,
     };
     Settings {
         classes: vec![class(Effect::Keyed { life: 6 * SEC, per_zone: false })],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }],
-        decay: Decay::Halves,
+        kinds: vec![DestKind { independent_endpoints: false, max_batch: 1 }],
+        decay: Decay::Exponential,
         senders: if scene.each_alone { 1 } else { senders },
         // As the platform gives them: twice what the even part keeps busy, and some seconds of it held.
         slots: (60 / senders).max(4),
-        open_cap: (800 / senders).max(50),
+        max_held_messages: (800 / senders).max(50),
         max_attempts: 6,
-        cancel: true,
-        retry_after: true,
+        may_cancel: true,
+        may_send_retry_after: true,
         max_retry_after: 3 * SEC,
         weights: if scene.listed.is_some() { Weights::Rough } else { Weights::Off },
-        idle_close: 5 * SEC,
+        idle_timeout: 5 * SEC,
         connect_timeout: SEC,
-        round: MS,
-        fall_multiple: FALL_MULTIPLE,
-        overload_for: FALL_FOR,
-        start_capacity: START,
-        warm_after: WARM,
+        min_turn_interval: MS,
+        overload_factor: FALL_MULTIPLE,
+        overload_duration: FALL_FOR,
+        initial_capacity_share: START,
+        warm_up_duration: WARM,
         ..Settings::default()
     }
 }
@@ -134,7 +134,7 @@
 
 impl Sender {
     fn started(scene: &Scene, now: Micros, seed: u64) -> Balancer {
-        let entry = Entry {
+        let entry = EndpointEntry {
             endpoint: 1,
             dest: 1,
             zone: 0,
@@ -143,25 +143,29 @@
             weight: scene.limit * scene.listed.unwrap_or(0.0),
         };
         let mut balancer = Balancer::new(settings(scene), seed);
-        balancer.on_event(now, Event::ListWhole(vec![entry]), &mut Vec::new());
+        balancer.on_event(now, Event::FullList(vec![entry]), &mut Vec::new());
         balancer
     }
 
     /// Its process is killed and starts again: what it held is handed back, calls that were out may have run.
     fn restart(&mut self, scene: &Scene, now: Micros, seed: u64) -> Vec<Event> {
         self.balancer = Self::started(scene, now, seed);
-        let resumed = self.held.iter_mut().map(|(id, (give_up_at, attempts, risk, out))| {
-            *risk = risk.or(out.then_some(now));
+        let resumed = self.held.iter_mut().map(|(id, (expires_at, attempts, first_possible_run, out))| {
+            *first_possible_run = first_possible_run.or(out.then_some(now));
             *out = false;
-            let past = Past { attempts: *attempts, risk: risk.map(|at| (at, 0)), taken_on: true };
-            Event::Submit(submit(*id, *give_up_at, past))
+            let history = MessageHistory {
+                attempts: *attempts,
+                first_possible_run: first_possible_run.map(|at| (at, 0)),
+                was_accepted: true,
+            };
+            Event::Submit(submit(*id, *expires_at, history))
         });
         resumed.collect()
     }
 }
 
-fn submit(id: MessageId, give_up_at: Micros, past: Past) -> Submit {
-    Submit { id, class: 0, tenant: None, key: None, give_up_at, dest: 1, past }
+fn submit(id: MessageId, expires_at: Micros, history: MessageHistory) -> SubmittedMessage {
+    SubmittedMessage { id, class: 0, tenant: None, key: None, expires_at, dest: 1, history }
 }
 
 pub fn play(scene: Scene, seed: u64) -> Played {
@@ -181,7 +185,7 @@
     };
     let mut fleet: Vec<Sender> = (0..scene.senders).map(new).collect();
     let mut luck = seed | 1;
-    let mut ends: BTreeMap<Micros, Vec<(usize, Ended)>> = BTreeMap::new();
+    let mut ends: BTreeMap<Micros, Vec<(usize, EndedAttempt)>> = BTreeMap::new();
     let (mut next, mut calls, mut refused) = (0, 0usize, 0usize);
     let mut now = start;
     let end = start + scene.outage.map_or(SPAN, |(_, until)| SPAN.max(until + AFTER));
@@ -205,16 +209,16 @@
             if let Some(held) = fleet[i].held.get_mut(&end.id) {
                 held.3 = false;
             }
-            events.entry(i).or_default().push(Event::Ended(end));
+            events.entry(i).or_default().push(Event::AttemptEnded(end));
         }
         for _ in 0..4 {
             if chance(&mut luck) < scene.load * scene.limit * STEP as f64 / SEC as f64 / 4.0 {
                 let even = (chance(&mut luck) * scene.senders as f64) as usize;
                 let at = if chance(&mut luck) < scene.one_has { 0 } else { even };
-                let give_up_at = now + 12 * SEC;
+                let expires_at = now + 12 * SEC;
                 fleet[at].came += 1;
-                fleet[at].held.insert(next, (give_up_at, 0, None, false));
-                let new = Event::Submit(submit(next, give_up_at, Past::default()));
+                fleet[at].held.insert(next, (expires_at, 0, None, false));
+                let new = Event::Submit(submit(next, expires_at, MessageHistory::default()));
                 events.entry(at).or_default().push(new);
                 next += 1;
             }
@@ -232,7 +236,7 @@
             for action in actions {
                 match action {
                     Action::Wake { at } => sender.wake = sender.wake.min(at),
-                    Action::Close { .. } => dest.close(i),
+                    Action::CloseIdle { .. } => dest.close(i),
                     Action::Refuse { id, .. } | Action::Fail { id } => drop(sender.held.remove(&id)),
                     Action::Send { id, timeout, .. } => {
                         let (outcome, report) = dest.call(now, i, sender.saw);
@@ -254,7 +258,8 @@
                             Outcome::TimedOut => timeout,
                             _ => 250 * MS,
                         };
-                        let end = Ended { id, attempt, outcome, elapsed, finished, report, wait: None };
+                        let end =
+                            EndedAttempt { id, attempt, outcome, elapsed, finished, report, wait: None };
                         ends.entry(now + elapsed).or_default().push((i, end));
                     }
                     _ => {}
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -16,10 +16,10 @@
     class: usize,
     dest: DestId,
     key: Option<String>,
-    give_up_at: Micros,
+    expires_at: Micros,
     sent: Vec<(EndpointId, Micros)>,
     out: BTreeSet<usize>,
-    risk: Option<Micros>,
+    first_possible_run: Option<Micros>,
     rest_until: Micros,
     over: bool,
 }
@@ -57,7 +57,10 @@
                     let m = self.messages.get_mut(&id).unwrap();
                     prop_assert!(!m.over, "second answer");
                     let safe = self.s.classes[m.class].effect == Effect::Safe;
-                    prop_assert!(safe || (m.risk.is_none() && m.out.is_empty()), "refused what may have run");
+                    prop_assert!(
+                        safe || (m.first_possible_run.is_none() && m.out.is_empty()),
+                        "refused what may have run"
+                    );
                     m.over = true;
                 }
                 Action::Fail { id } => {
@@ -69,7 +72,7 @@
             }
         }
         for m in self.messages.values() {
-            prop_assert!(m.over || self.now <= m.give_up_at + 20 * MS, "no answer in time");
+            prop_assert!(m.over || self.now <= m.expires_at + 20 * MS, "no answer in time");
         }
         Ok(())
     }
@@ -92,9 +95,12 @@
         prop_assert!(m.out.is_empty() && m.sent.len() < self.s.max_attempts);
         prop_assert!(self.now >= told.get(&scope_of(endpoint)).copied().unwrap_or(0), "wait not heeded");
         match self.s.classes[m.class].effect {
-            Effect::Unsafe => prop_assert!(m.risk.is_none(), "unsafe, and it may have run"),
+            Effect::Unsafe => prop_assert!(m.first_possible_run.is_none(), "unsafe, and it may have run"),
             Effect::Keyed { life, .. } => {
-                prop_assert!(m.risk.is_none_or(|first| self.now <= first + life), "key forgotten")
+                prop_assert!(
+                    m.first_possible_run.is_none_or(|first| self.now <= first + life),
+                    "key forgotten"
+                )
             }
             Effect::Safe => {}
         }
@@ -119,16 +125,16 @@
                 let id = self.messages.len() as MessageId;
                 let (class, dest) = (usize::from(which) % 4, u64::from(how) % 2 + 1);
                 let key = (class == 3).then(|| format!("k{}", how % 3));
-                let give_up_at = self.now + 16 * SEC;
-                self.messages.insert(id, Msg { class, dest, key: key.clone(), give_up_at, ..Msg::default() });
-                self.turn(Event::Submit(Submit {
+                let expires_at = self.now + 16 * SEC;
+                self.messages.insert(id, Msg { class, dest, key: key.clone(), expires_at, ..Msg::default() });
+                self.turn(Event::Submit(SubmittedMessage {
                     id,
                     class,
                     tenant: None,
                     key,
-                    give_up_at,
+                    expires_at,
                     dest,
-                    past: Past::default(),
+                    history: MessageHistory::default(),
                 }))
             }
             3..7 => {
@@ -148,7 +154,7 @@
                     _ => self.serving.remove(&endpoint),
                 };
                 let kind = usize::from(dest_of(endpoint) == 2);
-                self.turn(Event::ListChanges(vec![Entry {
+                self.turn(Event::ListChanges(vec![EndpointEntry {
                     listing,
                     ..entry(endpoint, dest_of(endpoint), kind)
                 }]))
@@ -173,17 +179,17 @@
         let (endpoint, sent) = m.sent[attempt];
         m.over |= outcome == Outcome::Delivered;
         if !outcome.never_ran() {
-            m.risk = m.risk.or(Some(sent));
+            m.first_possible_run = m.first_possible_run.or(Some(sent));
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset) {
-            m.rest_until = now + self.s.turn_gap;
+            m.rest_until = now + self.s.ordered_key_gap;
         }
         if let Outcome::Full { wait: Some(wait) } = outcome {
             let until = self.waits.entry(scope_of(endpoint)).or_insert(0);
             *until = (*until).max(now + wait);
         }
         let finished = m.over;
-        self.turn(Event::Ended(Ended {
+        self.turn(Event::AttemptEnded(EndedAttempt {
             id,
             attempt,
             outcome,
@@ -214,7 +220,7 @@
                 calls: 0,
             };
             let list = vec![entry(10, 1, 0), entry(11, 1, 0), entry(20, 2, 1), entry(21, 2, 1)];
-            referee.turn(Event::ListWhole(list))?;
+            referee.turn(Event::FullList(list))?;
             for step in steps {
                 referee.step(step)?;
             }
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -10,8 +10,9 @@
 
 /// A sender that is told no weights.
 fn untold(entries: &[(EndpointId, DestId)]) -> Rig {
-    let settings = Settings { slots: 40, weights: Weights::Off, cancel: true, ..settings() };
-    let entries = entries.iter().map(|(endpoint, dest)| Entry { weight: 0.0, ..entry(*endpoint, *dest, 0) });
+    let settings = Settings { slots: 40, weights: Weights::Off, may_cancel: true, ..settings() };
+    let entries =
+        entries.iter().map(|(endpoint, dest)| EndpointEntry { weight: 0.0, ..entry(*endpoint, *dest, 0) });
     Rig::new(settings, entries.collect())
 }
 
@@ -29,11 +30,11 @@
     for id in 100..200 {
         let sent = sends(&rig.submit(id, 0, 1));
         if sent.is_empty() {
-            rig.turn(vec![Event::ClientLeft { id }]);
+            rig.turn(vec![Event::ClientDisconnected { id }]);
             return;
         }
         rig.ended(id, 0, Outcome::Error, 10 * MS);
-        rig.turn(vec![Event::ClientLeft { id }]);
+        rig.turn(vec![Event::ClientDisconnected { id }]);
     }
     panic!("100 errors in a row are no outage");
 }
@@ -128,7 +129,7 @@
     let (_, sick) = sends(&rig.submit(50, 0, 1))[0];
     rig.now += 2 * SEC;
     rig.ended(50, 0, Outcome::TimedOut, 2 * SEC);
-    rig.turn(vec![Event::ClientLeft { id: 50 }]);
+    rig.turn(vec![Event::ClientDisconnected { id: 50 }]);
     let mut met = 0;
     for id in 60..260 {
         let mut sent = sends(&rig.submit(id, 0, 1));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn excess_is_refused_before_its_deadline_and_what_may_have_run_is_failed() {
-    let draining = Entry { listing: Listing::Draining, ..entry(10, 1, 0) };
+    let draining = EndpointEntry { listing: Listing::Draining, ..entry(10, 1, 0) };
     let mut rig = Rig::new(settings(), vec![draining]);
     rig.submit(1, 2, 1);
     let all = rig.pass(20 * SEC);
@@ -77,9 +77,9 @@
     };
     let mut r = Rig::new(settings(), vec![entry(1, 1, 0)]);
     let first = r.now;
-    let give_up_at = r.now + 16 * SEC;
+    let expires_at = r.now + 16 * SEC;
     let by = begin_by(&r.submit(1, 1, 1));
-    assert!((give_up_at - SEC..give_up_at).contains(&by), "{by}");
+    assert!((expires_at - SEC..expires_at).contains(&by), "{by}");
     r.now += 100 * MS;
     r.ended(1, 0, Outcome::Reset, 100 * MS);
     let again: Vec<Action> = r.pass(4 * SEC).into_iter().map(|(_, a)| a).collect();
@@ -90,12 +90,12 @@
 #[test]
 fn nothing_goes_to_a_draining_or_missing_endpoint() {
     let mut rig = Rig::new(settings(), vec![entry(10, 1, 0), entry(11, 1, 0)]);
-    let drained = Entry { listing: Listing::Draining, ..entry(10, 1, 0) };
+    let drained = EndpointEntry { listing: Listing::Draining, ..entry(10, 1, 0) };
     rig.turn(vec![Event::ListChanges(vec![drained])]);
     assert_eq!(sends(&rig.submit(1, 0, 1)), vec![(1, 11)]);
-    rig.turn(vec![Event::ListWhole(vec![entry(12, 1, 0)])]);
+    rig.turn(vec![Event::FullList(vec![entry(12, 1, 0)])]);
     assert_eq!(sends(&rig.submit(2, 0, 1)), vec![(2, 12)]);
-    rig.turn(vec![Event::ListWhole(vec![])]);
+    rig.turn(vec![Event::FullList(vec![])]);
     assert_eq!(sends(&rig.submit(3, 0, 1)), vec![]);
 }
 
@@ -124,16 +124,16 @@
 #[test]
 fn a_wait_told_to_one_message_of_a_batch_binds_at_once() {
     let mut rig = Rig::new(settings(), vec![entry(10, 1, 2)]);
-    let give_up_at = rig.now + 16 * SEC;
+    let expires_at = rig.now + 16 * SEC;
     let submit = |id| {
-        Event::Submit(Submit {
+        Event::Submit(SubmittedMessage {
             id,
             class: 0,
             tenant: None,
             key: None,
-            give_up_at,
+            expires_at,
             dest: 1,
-            past: Past::default(),
+            history: MessageHistory::default(),
         })
     };
     assert_eq!(sends(&rig.turn(vec![submit(1), submit(2)])).len(), 2);
@@ -185,7 +185,7 @@
     assert_eq!(sends(&rig.keyed(3, "b", 1)), vec![(3, 10)]);
     assert_eq!(sends(&rig.ended(1, 0, Outcome::Delivered, 10 * MS)), vec![(2, 10)]);
     rig.keyed(4, "a", 1);
-    let leaves = rig.turn(vec![Event::ClientLeft { id: 2 }]);
+    let leaves = rig.turn(vec![Event::ClientDisconnected { id: 2 }]);
     assert_eq!(sends(&leaves), vec![], "the attempt of the one before is still out");
     rig.ended(2, 0, Outcome::TimedOut, 10 * MS);
     let rested = rig.now + SEC;
@@ -199,10 +199,10 @@
     for slots in [0, 1] {
         let bare = Settings {
             slots,
-            classes: vec![Class { aim: 0, deadline: 0, ..class(Effect::Safe) }],
+            classes: vec![Class { target_latency: 0, deadline: 0, ..class(Effect::Safe) }],
             ..settings()
         };
-        let huge = Entry { weight: f64::MAX, ..entry(10, 1, 9) };
+        let huge = EndpointEntry { weight: f64::MAX, ..entry(10, 1, 9) };
         let mut rig = Rig::new(Settings { weights: Weights::Rough, ..bare }, vec![huge]);
         assert_eq!(sends(&rig.submit(1, 0, 1)).len(), slots);
         rig.ended(1, 0, Outcome::Full { wait: Some(1 << 54) }, 0);
@@ -215,11 +215,11 @@
 #[test]
 fn a_refusal_after_a_lull_cuts_the_limit_not_the_rate_lately_sent() {
     let mut rig = Rig::new(settings(), vec![entry(10, 1, 0)]);
-    let report = Some(Report { limit: Some(20.0), left: None });
+    let report = Some(LimitReport { limit: Some(20.0), remaining: None });
     let full = Outcome::Full { wait: None };
     rig.submit(1, 0, 1);
     let (id, attempt, elapsed) = (1, 0, 10 * MS);
-    rig.turn(vec![Event::Ended(Ended {
+    rig.turn(vec![Event::AttemptEnded(EndedAttempt {
         id,
         attempt,
         outcome: full,
@@ -247,7 +247,7 @@
 /// Seen in a search for bad days: eager half-empty calls used up a limit on calls, and one sender got nothing.
 #[test]
 fn where_calls_gather_messages_the_pace_starts_at_the_even_part_and_does_not_grow_for_half_empty_calls() {
-    let weighed = Entry { weight: 4.0, ..entry(10, 1, 2) };
+    let weighed = EndpointEntry { weight: 4.0, ..entry(10, 1, 2) };
     let mut rig = Rig::new(Settings { weights: Weights::Rough, ..settings() }, vec![weighed]);
     let (mut calls, mut last, end) = (0, 0, rig.now + 10 * SEC);
     let mut id = 0;
@@ -272,7 +272,7 @@
 #[test]
 fn with_every_slot_taken_calls_long_overdue_are_cancelled_but_for_a_few() {
     let hosts = vec![entry(10, 1, 0), entry(20, 2, 0), entry(30, 3, 0)];
-    let mut rig = Rig::new(Settings { cancel: true, ..settings() }, hosts);
+    let mut rig = Rig::new(Settings { may_cancel: true, ..settings() }, hosts);
     for id in 0..8 {
         assert_eq!(sends(&rig.submit(id, 2, 1 + id % 2)).len(), 1);
     }
@@ -288,13 +288,13 @@
 
 #[test]
 fn a_sender_subscribes_at_its_start_and_again_after_a_break() {
-    let mut rig = Rig::new(Settings { ask: true, ..settings() }, vec![entry(10, 1, 0)]);
-    assert_eq!(rig.turn(vec![Event::ListBroken]), vec![], "not at once: the list is under load");
+    let mut rig = Rig::new(Settings { must_subscribe: true, ..settings() }, vec![entry(10, 1, 0)]);
+    assert_eq!(rig.turn(vec![Event::SubscriptionFailed]), vec![], "not at once: the list is under load");
     let again = rig.pass(3 * SEC);
     assert_eq!(again.iter().filter(|(_, a)| *a == Action::Subscribe).count(), 1);
     assert_eq!(sends(&rig.submit(1, 0, 1)), vec![(1, 10)], "the old list stays");
 
-    let mut fresh = yarrowhill_policy::Balancer::new(Settings { ask: true, ..settings() }, 1);
+    let mut fresh = yarrowhill_policy::Balancer::new(Settings { must_subscribe: true, ..settings() }, 1);
     let mut actions = Vec::new();
     fresh.on_event(0, Event::TurnEnd, &mut actions);
     assert_eq!(actions[0], Action::Subscribe);
@@ -303,11 +303,14 @@
 #[test]
 fn a_key_known_in_one_zone_only_is_not_tried_in_another() {
     let keyed = class(Effect::Keyed { life: 10 * SEC, per_zone: true });
-    let far = Entry { zone: 1, ..entry(11, 1, 0) };
+    let far = EndpointEntry { zone: 1, ..entry(11, 1, 0) };
     let mut rig = Rig::new(Settings { classes: vec![keyed], ..settings() }, vec![entry(10, 1, 0), far]);
     let (_, first) = sends(&rig.submit(1, 0, 1))[0];
     rig.ended(1, 0, Outcome::Error, 10 * MS);
-    rig.turn(vec![Event::ListChanges(vec![Entry { listing: Listing::Draining, ..entry(first, 1, 0) }])]);
+    rig.turn(vec![Event::ListChanges(vec![EndpointEntry {
+        listing: Listing::Draining,
+        ..entry(first, 1, 0)
+    }])]);
     let all = rig.pass(20 * SEC);
     assert_eq!(timed_sends(&all), vec![]);
     assert!(all.iter().any(|(_, a)| *a == Action::Fail { id: 1 }));
@@ -318,9 +321,9 @@
     for limit in [1e-300, 1e300] {
         let mut rig = Rig::new(settings(), vec![entry(10, 1, 0)]);
         rig.submit(1, 0, 1);
-        let report = Some(Report { limit: Some(limit), left: None });
+        let report = Some(LimitReport { limit: Some(limit), remaining: None });
         let (outcome, elapsed) = (Outcome::Delivered, 10 * MS);
-        rig.turn(vec![Event::Ended(Ended {
+        rig.turn(vec![Event::AttemptEnded(EndedAttempt {
             id: 1,
             attempt: 0,
             outcome,
@@ -354,7 +357,7 @@
 }
 
 fn closed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Close { .. }))
+    actions.iter().any(|a| matches!(a, Action::CloseIdle { .. }))
 }
 
 /// Seen at a recorded incident: idle connections of hundreds of senders filled the tables of receivers.
@@ -407,12 +410,12 @@
 #[test]
 fn a_refusal_cuts_what_this_sender_sends_and_not_what_is_told_for_all() {
     let mut rig = Rig::new(many(), vec![entry(10, 1, 0)]);
-    let report = Some(Report { limit: Some(6.0), left: None });
+    let report = Some(LimitReport { limit: Some(6.0), remaining: None });
     for id in 0..20 {
         rig.now += SEC;
         rig.submit(id, 0, 1);
         let (outcome, elapsed) = (Outcome::Delivered, 10 * MS);
-        rig.turn(vec![Event::Ended(Ended {
+        rig.turn(vec![Event::AttemptEnded(EndedAttempt {
             id,
             attempt: 0,
             outcome,
@@ -456,7 +459,7 @@
     for seed in 1..20 {
         let mut rig = Rig::new(many(), vec![entry(10, 1, 0)]);
         rig.sender = yarrowhill_policy::Balancer::new(many(), seed * 7919);
-        rig.turn(vec![Event::ListWhole(vec![entry(10, 1, 0)])]);
+        rig.turn(vec![Event::FullList(vec![entry(10, 1, 0)])]);
         rig.submit(1, 0, 1);
         rig.ended(1, 0, Outcome::Full { wait: Some(5 * SEC) }, 10 * MS);
         let end = rig.now + 5 * SEC;
@@ -491,16 +494,16 @@
 fn a_client_with_less_patience_than_the_aim_is_on_time_until_it_leaves() {
     let mut rig = Rig::new(Settings { slots: 1, ..settings() }, vec![entry(10, 1, 0), entry(20, 2, 0)]);
     rig.submit(1, 0, 1);
-    let late = Submit {
+    let late = SubmittedMessage {
         id: 2,
         class: 0,
         tenant: None,
         key: None,
-        give_up_at: rig.now + 12 * SEC,
+        expires_at: rig.now + 12 * SEC,
         dest: 1,
-        past: Past::default(),
+        history: MessageHistory::default(),
     };
-    let brief = Submit { id: 3, give_up_at: rig.now + 2 * SEC, dest: 2, ..late.clone() };
+    let brief = SubmittedMessage { id: 3, expires_at: rig.now + 2 * SEC, dest: 2, ..late.clone() };
     rig.turn(vec![Event::Submit(late), Event::Submit(brief)]);
     assert_eq!(sends(&rig.ended(1, 0, Outcome::Delivered, 100 * MS)), vec![(3, 20)]);
 }
@@ -512,11 +515,11 @@
     for seed in 1..=50 {
         let mut rig = Rig::new(many(), vec![entry(10, 1, 0)]);
         rig.sender = yarrowhill_policy::Balancer::new(many(), seed * 104_729);
-        rig.turn(vec![Event::ListWhole(vec![entry(10, 1, 0)])]);
-        let report = Some(Report { limit: Some(50.0), left: None });
+        rig.turn(vec![Event::FullList(vec![entry(10, 1, 0)])]);
+        let report = Some(LimitReport { limit: Some(50.0), remaining: None });
         let (outcome, elapsed) = (Outcome::Full { wait: Some(4 * SEC) }, 10 * MS);
         rig.submit(1, 0, 1);
-        rig.turn(vec![Event::Ended(Ended {
+        rig.turn(vec![Event::AttemptEnded(EndedAttempt {
             id: 1,
             attempt: 0,
             outcome,
@@ -541,28 +544,42 @@
 }
 
 /// A message of an earlier process comes back with what is known of it.
-fn resumed(class: usize, past: Past) -> Vec<Action> {
+fn resumed(class: usize, history: MessageHistory) -> Vec<Action> {
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0)]);
-    let past = Past { risk: past.risk.map(|(ago, zone)| (rig.now - ago, zone)), ..past };
-    let give_up_at = rig.now + 9 * SEC;
-    rig.turn(vec![Event::Submit(Submit { id: 1, class, tenant: None, key: None, give_up_at, dest: 1, past })])
+    let history = MessageHistory {
+        first_possible_run: history.first_possible_run.map(|(ago, zone)| (rig.now - ago, zone)),
+        ..history
+    };
+    let expires_at = rig.now + 9 * SEC;
+    rig.turn(vec![Event::Submit(SubmittedMessage {
+        id: 1,
+        class,
+        tenant: None,
+        key: None,
+        expires_at,
+        dest: 1,
+        history,
+    })])
 }
 
 #[test]
 fn a_resumed_message_keeps_its_attempts_and_its_risk() {
-    let past =
-        |attempts, ago: Option<Micros>| Past { attempts, risk: ago.map(|ago| (ago, 0)), taken_on: false };
+    let history = |attempts, ago: Option<Micros>| MessageHistory {
+        attempts,
+        first_possible_run: ago.map(|ago| (ago, 0)),
+        was_accepted: false,
+    };
     let goes = |actions: &[Action]| !sends(actions).is_empty();
     let fails = |actions: &[Action]| actions.contains(&Action::Fail { id: 1 });
     // Never ran: it goes on, while it has attempts left; then it is handed back.
-    assert!(goes(&resumed(2, past(3, None))));
-    let spent = resumed(2, past(6, None));
+    assert!(goes(&resumed(2, history(3, None))));
+    let spent = resumed(2, history(6, None));
     assert!(!goes(&spent) && spent.iter().any(|a| matches!(a, Action::Refuse { id: 1, .. })));
     // May have run: never again if unsafe, within its window if keyed, freely if safe.
-    assert!(fails(&resumed(2, past(1, Some(SEC)))));
-    assert!(goes(&resumed(1, past(1, Some(SEC)))));
-    assert!(fails(&resumed(1, past(1, Some(6 * SEC)))));
-    assert!(goes(&resumed(0, past(1, Some(6 * SEC)))));
+    assert!(fails(&resumed(2, history(1, Some(SEC)))));
+    assert!(goes(&resumed(1, history(1, Some(SEC)))));
+    assert!(fails(&resumed(1, history(1, Some(6 * SEC)))));
+    assert!(goes(&resumed(0, history(1, Some(6 * SEC)))));
 }
 
 #[test]
@@ -580,7 +597,8 @@
     assert_eq!(sends(&rig.submit(20, 2, 1)), [], "an error would lose it");
     assert_eq!(sends(&rig.submit(21, 0, 1)).len(), 1, "an error would not");
     let all = timed_sends(&rig.pass(3 * SEC));
-    let (at, ..) = all.iter().find(|(_, id, _)| *id == 20).expect("it goes before its aim has passed");
+    let (at, ..) =
+        all.iter().find(|(_, id, _)| *id == 20).expect("it goes before its target_latency has passed");
     assert!(*at - start >= SEC, "{}", at - start);
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 //! ```
 //! let settings = serde_json::json!({"kinds": ["card-issuer"], "familyInfo": {"batchByKind": [20]}});
 //! let (settings, names) = yarrowhill_settings::from_json(&settings)?;
-//! assert_eq!((settings.kinds[0].batch, names.kinds[0].as_str()), (20, "card-issuer"));
+//! assert_eq!((settings.kinds[0].max_batch, names.kinds[0].as_str()), (20, "card-issuer"));
 //! # Ok::<(), yarrowhill_settings::WireError>(())
 //! ```
 
@@ -13,7 +13,9 @@
 pub use fields::{Fields, TIME_BOUND, WireError};
 
 use serde_json::Value;
-use yarrowhill_policy::api::{Class, Decay, Effect, Kind, Micros, Report, Settings, Tenant, Weights};
+use yarrowhill_policy::api::{
+    Class, Decay, DestKind, Effect, LimitReport, Micros, Settings, Tenant, Weights,
+};
 
 /// A connection that takes longer has failed, where the settings don't say when (microseconds).
 const CONNECT_TIMEOUT: Micros = 1_000_000;
@@ -84,17 +86,17 @@
 }
 
 /// Reads what a destination tells of its limit, value by name; `None` where a value is no number.
-pub fn read_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<Report> {
-    let mut report = Report { limit: None, left: None };
+pub fn read_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LimitReport> {
+    let mut report = LimitReport { limit: None, remaining: None };
     for (name, value) in values {
         let v = value.parse::<f64>().ok().filter(|v| v.is_finite())?;
         if name == "x1" {
             report.limit = Some(v).filter(|l| *l > 0.0);
         } else if name == "x0" {
-            report.left = Some(v.clamp(0.0, 1.0));
+            report.remaining = Some(v.clamp(0.0, 1.0));
         }
     }
-    report.left = report.left.filter(|_| report.limit.is_some());
+    report.remaining = report.remaining.filter(|_| report.limit.is_some());
     Some(report)
 }
 
@@ -137,10 +139,10 @@
         names.classes.push(c.fields.need(&at("name"))?.to_owned());
         classes.push(Class {
             effect,
-            aim: c.time(&at("goalTime"))?,
+            target_latency: c.time(&at("goalTime"))?,
             deadline: c.time(&at("deadline"))?,
-            worth: c.num(&at("worth"), 1.0)?,
-            late_share: c.num(&at("lateShare"), 0.0)?,
+            value: c.num(&at("worth"), 1.0)?,
+            deadline_value_share: c.num(&at("lateShare"), 0.0)?,
             ordered: c.fields.flag(&at("sequential"))?,
         });
     }
@@ -152,19 +154,19 @@
     let apart = c.list("familyInfo.kindApart");
     let batch = c.nums("familyInfo.batchByKind")?;
     let kinds = (0..names.kinds.len())
-        .map(|i| Kind {
-            routes_apart: matches!(apart.get(i), Some(&("true" | "1"))),
-            batch: batch.get(i).map_or(1, |b| b.max(1.0) as usize),
+        .map(|i| DestKind {
+            independent_endpoints: matches!(apart.get(i), Some(&("true" | "1"))),
+            max_batch: batch.get(i).map_or(1, |b| b.max(1.0) as usize),
         })
         .collect();
     let settings = Settings {
         classes,
         kinds,
         tenants,
-        over_share_worth: c.num("overShareWorth", 1.0)?,
+        over_quota_value_factor: c.num("overShareWorth", 1.0)?,
         decay: match c.fields.get("familyInfo.decay") {
-            Some("halves") => Decay::Halves,
-            None | Some("line") => Decay::Line,
+            Some("halves") => Decay::Exponential,
+            None | Some("line") => Decay::Linear,
             Some(v) => {
                 return Err(c
                     .fields
@@ -174,14 +176,14 @@
         zone: c.fields.get("zone").and_then(|z| index(&names.zones, z)).unwrap_or(usize::MAX),
         senders: c.count("peersTotal", 1)?,
         slots: c.count("familyInfo.slots", usize::MAX)?,
-        open_cap: c.count("limits.openCap", usize::MAX)?,
+        max_held_messages: c.count("limits.openCap", usize::MAX)?,
         max_attempts: c.count("limits.maxAttempts", usize::MAX)?,
-        cancel: c.fields.flag("limits.cancel")?,
-        second_copies: c.fields.get("limits.mayDuplicate").is_none()
+        may_cancel: c.fields.flag("limits.cancel")?,
+        may_overlap_attempts: c.fields.get("limits.mayDuplicate").is_none()
             || c.fields.flag("limits.mayDuplicate")?,
-        retry_after: c.fields.flag("limits.retryAfter")?,
+        may_send_retry_after: c.fields.flag("limits.retryAfter")?,
         max_retry_after: c.time("limits.maxRetryAfter")?,
-        ask: match c.fields.get("discovery") {
+        must_subscribe: match c.fields.get("discovery") {
             Some("ask") => true,
             None | Some("push") => false,
             Some(v) => return Err(c.fields.bad("discovery", format!("expected push or ask, found {v:?}"))),
@@ -196,14 +198,14 @@
                 return Err(c.fields.bad("weights", expected));
             }
         },
-        idle_close: c.time("limits.idleClose")?,
+        idle_timeout: c.time("limits.idleClose")?,
         connect_timeout: c.fields.time("limits.connectTimeout")?.unwrap_or(CONNECT_TIMEOUT),
-        round: c.time("round")?,
-        fall_multiple: c.num("guarantees.fallMultiple", 1.0)?,
-        overload_for: c.time("guarantees.overloadFor")?,
-        start_capacity: c.num("guarantees.startCapacity", 0.0)?,
-        warm_after: c.time("guarantees.warmAfter")?,
-        turn_gap: c.time("guarantees.turnGap")?,
+        min_turn_interval: c.time("round")?,
+        overload_factor: c.num("guarantees.fallMultiple", 1.0)?,
+        overload_duration: c.time("guarantees.overloadFor")?,
+        initial_capacity_share: c.num("guarantees.startCapacity", 0.0)?,
+        warm_up_duration: c.time("guarantees.warmAfter")?,
+        ordered_key_gap: c.time("guarantees.turnGap")?,
     };
     Ok((settings, names))
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -19,7 +19,10 @@
     flatten("", &settings, &mut pairs);
     let (read, names) = settings_from(&pairs).expect("it is well formed");
     assert_eq!(read.classes[0].effect, Effect::Keyed { life: 15_000_000, per_zone: false });
-    assert_eq!((read.classes[0].aim, read.slots, read.zone), (3_000_000, 15, 1));
-    assert_eq!((read.kinds[0].batch, read.kinds[1].routes_apart, read.cancel), (20, true, true));
+    assert_eq!((read.classes[0].target_latency, read.slots, read.zone), (3_000_000, 15, 1));
+    assert_eq!(
+        (read.kinds[0].max_batch, read.kinds[1].independent_endpoints, read.may_cancel),
+        (20, true, true)
+    );
     assert_eq!((names.classes, names.tenants), (vec!["auth-notice".into()], vec!["two_words".into()]));
 }
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -63,7 +63,7 @@
 /// Who keeps the list, and how many others do. What is pushed is had from an agent of the forwarder's own machine, at
 /// no cost to anybody; only what has to be asked for is shared with the others.
 pub(crate) fn watcher(config: &Config) -> Watcher {
-    let askers = config.settings.ask.then_some(config.settings.senders);
+    let askers = config.settings.must_subscribe.then_some(config.settings.senders);
     Watcher { rev: config.known.rev, askers, seed: config.seed }
 }
 
@@ -118,7 +118,7 @@
         known: config.known,
         shard: None,
     };
-    let idle_close = Duration::from_micros(config.settings.idle_close.max(0) as u64);
+    let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
     let pool = joined.guard_calls(Pool::new(idle, idle_close));
     let engine = Engine::start(options, pool, notices, inputs.clone())?;
     joined.tell_senders(std::slice::from_ref(&inputs));
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -101,7 +101,7 @@
         }
         tokio::spawn(node.run());
         // As the module tells them apart.
-        let shut = Duration::from_micros(config.settings.warm_after.unsigned_abs() / 4);
+        let shut = Duration::from_micros(config.settings.warm_up_duration.unsigned_abs() / 4);
         Ok(Some(Member { handle, name: name.clone(), document: path.clone(), shut }))
     }
 
@@ -156,9 +156,10 @@
 /// the shortest aim, or two probe periods.
 fn ramp(config: &Config, document: &Document) -> Ramp {
     let settings = &config.settings;
-    let aims = settings.classes.iter().map(|class| class.aim.unsigned_abs()).filter(|aim| *aim > 0);
+    let aims =
+        settings.classes.iter().map(|class| class.target_latency.unsigned_abs()).filter(|aim| *aim > 0);
     let turn = aims.min().unwrap_or(0).max(document.timing.period * 2);
-    Ramp { turn, warm: settings.warm_after.unsigned_abs(), start: settings.start_capacity }
+    Ramp { turn, warm: settings.warm_up_duration.unsigned_abs(), start: settings.initial_capacity_share }
 }
 
 fn document(path: &Path, name: &str) -> Result<Document, RunError> {
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -49,7 +49,7 @@
         yarrowhill_journal::segments(&config.state, shards, journal, unix_now(), |d| shard_of(d, shards))?;
     let (told, at) = watch::channel(config.discovery);
     let (all_served, served) = watch::channel(false);
-    let pool = RoomPool::new(config.settings.open_cap, shards);
+    let pool = RoomPool::new(config.settings.max_held_messages, shards);
     let shares = Arc::new(Shares::new(shards, config.settings.tenants.len()));
     let (mut engines, mut phases, mut threads) = (Vec::new(), Vec::new(), JoinSet::new());
     for (number, state) in folders.into_iter().enumerate() {
@@ -59,7 +59,7 @@
         engines.push(inputs.clone());
         phases.push(shard_phase);
         let options = options(&config, number, state, journal_limit, &pool, &shares);
-        let idle_close = Duration::from_micros(config.settings.idle_close.max(0) as u64);
+        let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
         let idle = (idle / shards).max(1);
         let (discovery, served) = (at.clone(), served.clone());
         let joined = joined.clone();
