--- a/crates/policy/src/balancer/admission.rs
+++ b/crates/policy/src/balancer/admission.rs
@@ -1,6 +1,6 @@
 //! The ordinary path: calls in flight to a destination are capped at a share of slots; less while it falters.
 
-use super::env::SECOND;
+use super::params::SECOND;
 use super::state::Balancer;
 use crate::api::{Action, DestId, Effect, EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
--- a/crates/policy/src/balancer/hold.rs
+++ b/crates/policy/src/balancer/messages.rs
@@ -1,6 +1,6 @@
 //! Messages while they are held: taken, queued, parked, shed and given their final answer.
 
-use super::env::SECOND;
+use super::params::SECOND;
 use super::scope::Scope;
 use super::state::{Balancer, Dest, Message, Place};
 use crate::api::{Action, Decay, Effect, MessageHistory, MessageId, Micros, SubmittedMessage};
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -4,20 +4,20 @@
 //! `admission` with `choice`, `outcomes`, `timers`.
 
 mod admission;
-mod choice;
-mod env;
-mod hold;
-mod list;
+mod endpoint_list;
+mod messages;
 mod outcomes;
+mod params;
 mod scope;
+mod selection;
 mod state;
 mod timers;
 
 pub use state::Balancer;
 
 use crate::api::{Action, Event, Micros, Settings};
-use crate::fading::{Fading, chance};
-use env::Env;
+use crate::numeric::{Fading, chance};
+use params::Env;
 use std::sync::Arc;
 
 impl Balancer {
--- a/crates/policy/src/balancer/outcomes.rs
+++ b/crates/policy/src/balancer/outcomes.rs
@@ -1,10 +1,10 @@
 //! What came of an attempt: further attempts, the call's slot and count, and what it says of health.
 
-use super::env::Env;
+use super::params::Env;
 use super::scope::{PACE_GAIN, State};
 use super::state::{Attempt, Balancer, Endpoint, Place};
 use crate::api::{Action, DestId, EndedAttempt, EndpointId, Micros, Outcome};
-use crate::fading::chance;
+use crate::numeric::chance;
 
 /// The first further attempt after one that may have run waits the Nth part of the aim; then doubled.
 const RETRY_PART: i64 = 16;
--- a/crates/policy/src/balancer/scope.rs
+++ b/crates/policy/src/balancer/scope.rs
@@ -1,9 +1,9 @@
 //! What is known of a destination, or of one route where routes are apart: its pace, its health, its limit
 //! and how it comes back from an outage.
 
-use super::env::{Env, SECOND, UNEVEN};
+use super::params::{Env, SECOND, UNEVEN};
 use crate::api::{DestKind, LimitReport, Micros, Outcome};
-use crate::fading::{Fading, chance};
+use crate::numeric::{Fading, chance};
 use std::collections::BTreeMap;
 
 /// Outcomes imagined good (calls): few samples do not condemn.
--- a/crates/policy/src/balancer/state.rs
+++ b/crates/policy/src/balancer/state.rs
@@ -1,9 +1,9 @@
 //! What one sender holds: destinations, endpoints, messages and attempts.
 
-use super::env::Env;
+use super::params::Env;
 use super::scope::Scope;
 use crate::api::{DestId, DestKind, EndpointId, MessageId, Micros, SubmittedMessage};
-use crate::fading::Fading;
+use crate::numeric::Fading;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,6 +30,6 @@
 
 pub mod api;
 mod balancer;
-mod fading;
+mod numeric;
 
 pub use balancer::Balancer;
