--- a/crates/duties/src/core.rs
+++ b/crates/duties/src/core.rs
@@ -1,9 +1,9 @@
 //! All duties of one member: what it votes on, what it looks for, what it holds.
 
 use crate::ballot::{Ballot, Electorate, Lease, Life, Micros};
-use crate::choice::{Candidate, Duty, ranks};
+use crate::ranking::{Candidate, Duty, ranks};
 use crate::register::{Answer, Post, Reason, Register};
-use crate::seeker::{Ask, Belief, Head, Seeker, Seen, Setting};
+use crate::proposer::{Ask, Belief, Head, Seeker, Seen, Setting};
 use crate::term::{Decided, StepError, Write};
 use crate::voter::{Standing, Stored, Vote, Voter};
 use serde::{Deserialize, Serialize};
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -24,17 +24,17 @@
 //! - `choice`: who should; `core`: all duties of a member
 
 mod ballot;
-mod choice;
+mod ranking;
 mod core;
 mod register;
-mod seeker;
+mod proposer;
 mod term;
 mod voter;
 
 pub use ballot::{Ballot, Electorate, Lease, Life, Micros};
-pub use choice::{Candidate, Duty, RANKS, ranks};
+pub use ranking::{Candidate, Duty, RANKS, ranks};
 pub use core::{Body, DUTIES_MOST, Duties, DutyStatus, Event, Held, Letter, Output, Wish, WishError};
 pub use register::{Accepted, Answer, Kept, PROGRESS_MOST, Post, Reason, Register, Ruling};
-pub use seeker::{Ask, Belief, Head, Seeker, Seen, Setting};
+pub use proposer::{Ask, Belief, Head, Seeker, Seen, Setting};
 pub use term::{Decided, StepError, Term, Write};
 pub use voter::{Standing, Stored, Vote, Voter};
