--- a/crates/attack/src/duties.rs
+++ b/crates/attack/src/duties.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use yarrowhill_duties::{
-    Ask, Candidate, Decided, Duties, Duty, Electorate, Event, Kept, Lease, Letter, Life, Output, Post,
-    Reason, Seeker, Setting, Standing, Stored, Voter, Write,
+    Candidate, Decision, Duties, Duty, Envelope, Event, Lease, LeasedRegister, Output, ProcessId, Proposer,
+    ProposerContext, Reason, RegisterValue, StoredVoter, Voter, VoterFlags, VoterRequest, VoterSet, Write,
 };
 use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start, World};
 
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DutyState {
     voters: Vec<Voter>,
-    seekers: Vec<Seeker>,
+    seekers: Vec<Proposer>,
     /// What each asks of all now: the ballot that it wants, or its newest word.
     asks: Vec<Option<(u64, Word)>>,
     stray: Option<(u64, Word)>,
@@ -80,15 +80,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Word {
     Prepare(yarrowhill_duties::Ballot),
-    Accept { ballot: yarrowhill_duties::Ballot, seq: u64, post: Post },
+    Accept { ballot: yarrowhill_duties::Ballot, seq: u64, value: RegisterValue },
 }
 
 impl Word {
-    fn of(ask: Ask) -> Option<Self> {
+    fn of(ask: VoterRequest) -> Option<Self> {
         match ask {
-            Ask::Look => None,
-            Ask::Prepare(ballot) => Some(Word::Prepare(ballot)),
-            Ask::Accept(Write { ballot, seq, post }) => Some(Word::Accept { ballot, seq, post }),
+            VoterRequest::Query => None,
+            VoterRequest::Prepare(ballot) => Some(Word::Prepare(ballot)),
+            VoterRequest::Accept(Write { ballot, seq, value }) => Some(Word::Accept { ballot, seq, value }),
         }
     }
 }
@@ -132,12 +132,12 @@
         Lease::new(self.lease, self.drift)
     }
 
-    fn electorate() -> Electorate {
-        Electorate::of(0..VOTERS)
+    fn electorate() -> VoterSet {
+        VoterSet::new(0..VOTERS)
     }
 
-    fn life(voter: usize, again: u64) -> Life {
-        Life { member: voter as u64, life: again }
+    fn life(voter: usize, again: u64) -> ProcessId {
+        ProcessId { member: voter as u64, instance: again }
     }
 }
 
@@ -149,17 +149,27 @@
         let lease = self.lease();
         let voter = |n: usize| {
             // All have voted for long, and nothing was decided.
-            let mut voter = Voter::new(NOW, Self::life(n, 0), BOOT, lease, Some(Stored::default()));
+            let mut voter = Voter::new(NOW, Self::life(n, 0), BOOT, lease, Some(StoredVoter::default()));
             let (nonce, _) = voter.tick(NOW, lease, &Self::electorate());
-            let says = Standing { votes: true, fresh: false };
+            let says = VoterFlags { voting: true, fresh: false };
             let other = (n as u64 + 1) % VOTERS;
             for other in [other, (other + 1) % VOTERS] {
                 let nonce = nonce.unwrap_or(0);
-                voter.told(NOW, lease, &Self::electorate(), other, nonce, says, (None, 0), None, (0, 1));
+                voter.handle_recovery_response(
+                    NOW,
+                    lease,
+                    &Self::electorate(),
+                    other,
+                    nonce,
+                    says,
+                    (None, 0),
+                    None,
+                    (0, 1),
+                );
             }
             voter
         };
-        let seeker = |n: u64| Seeker::new(NOW, Life { member: n, life: 10 + n });
+        let seeker = |n: u64| Proposer::new(NOW, ProcessId { member: n, instance: 10 + n });
         let begun = DutyState {
             voters: (0..VOTERS as usize).map(voter).collect(),
             seekers: (0..2).map(seeker).collect(),
@@ -179,8 +189,8 @@
         for by in 0..2 {
             let term = s.seekers[by].term();
             // Whoever prepares or holds goes on with that until it is over: to begin anew then only loses.
-            let free = term.is_none_or(|t| t.is_over(NOW)) && (by == 1 || self.ballots > 2);
-            if free && s.seekers[by].highest() < self.ballots {
+            let free = term.is_none_or(|t| t.is_expired(NOW)) && (by == 1 || self.ballots > 2);
+            if free && s.seekers[by].highest_number() < self.ballots {
                 steps.extend((1..8).map(|mask| DutyStep::Begin(by, mask)));
             }
             if s.asks[by].is_some() {
@@ -192,7 +202,7 @@
                     steps.push(DutyStep::Keep(by));
                 }
             }
-            if let Some(term) = term.filter(|t| t.holds(NOW)) {
+            if let Some(term) = term.filter(|t| t.is_held(NOW)) {
                 steps.push(DutyStep::Give(by));
                 if s.left.3 > 0 {
                     steps.push(DutyStep::Renew(by));
@@ -212,7 +222,7 @@
             if s.left.1 > 0 {
                 steps.extend([DutyStep::Wipe(voter, false), DutyStep::Wipe(voter, true)]);
             }
-            if !s.voters[voter].votes() {
+            if !s.voters[voter].is_voting() {
                 steps.extend((0..VOTERS as usize).filter(|o| *o != voter).map(|o| DutyStep::Learn(voter, o)));
             }
         }
@@ -222,14 +232,14 @@
     fn take(&self, state: &DutyState, step: &DutyStep) -> DutyState {
         let mut s = state.clone();
         let (lease, electorate) = (self.lease(), Self::electorate());
-        let setting = Setting { lease, voters: &electorate, rank: Some(0), chance: 0 };
+        let setting = ProposerContext { lease, voters: &electorate, rank: Some(0), jitter: 0 };
         match *step {
             DutyStep::Time => {
                 s.seekers.iter_mut().for_each(|k| *k = k.rebased(NOW, self.rates[0], lease));
                 s.voters.iter_mut().for_each(|v| *v = v.rebased(NOW, self.rates[1], lease));
                 for by in 0..2 {
                     // A question whose time is up is asked no more.
-                    let over = s.seekers[by].term().is_some_and(|t| t.is_over(NOW));
+                    let over = s.seekers[by].term().is_some_and(|t| t.is_expired(NOW));
                     if over || s.seekers[by].term().is_none() {
                         s.asks[by] = None;
                     }
@@ -240,11 +250,13 @@
             }
             DutyStep::Begin(by, mask) => {
                 // One whose term is over is at rest first.
-                let (me, highest) =
-                    (Life { member: by as u64, life: 10 + by as u64 }, s.seekers[by].highest());
-                let mut seeker = Seeker::new(NOW, me);
-                let ballot = yarrowhill_duties::Ballot { number: highest, by: me };
-                seeker.refused(NOW, &setting, ballot, ballot, None);
+                let (me, highest) = (
+                    ProcessId { member: by as u64, instance: 10 + by as u64 },
+                    s.seekers[by].highest_number(),
+                );
+                let mut seeker = Proposer::new(NOW, me);
+                let ballot = yarrowhill_duties::Ballot { number: highest, proposer: me };
+                seeker.handle_refusal(NOW, &setting, ballot, ballot, None);
                 let word = Word::of(seeker.prepare(NOW));
                 s.seekers[by] = seeker;
                 s.asks[by] = None;
@@ -260,21 +272,21 @@
             DutyStep::Renew(by) => {
                 s.left.3 -= 1;
                 if let Some(write) = s.seekers[by].term_mut().and_then(|term| term.tick(NOW, lease)) {
-                    s.asks[by] = Word::of(Ask::Accept(write)).map(|w| (by as u64, w));
+                    s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
                 }
             }
             DutyStep::Step(by) => {
                 if let Some(term) = s.seekers[by].term_mut() {
                     let token = term.token();
-                    if let Ok((_, write)) = term.step(NOW, lease, token, vec![token as u8, by as u8]) {
-                        s.asks[by] = Word::of(Ask::Accept(write)).map(|w| (by as u64, w));
+                    if let Ok((_, write)) = term.record_step(NOW, lease, token, vec![token as u8, by as u8]) {
+                        s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
                     }
                 }
             }
             DutyStep::Give(by) => {
-                let write = s.seekers[by].term_mut().and_then(|term| term.give(NOW, lease, Reason::Asked));
+                let write = s.seekers[by].term_mut().and_then(|term| term.release(NOW, lease, Reason::Asked));
                 if let Some(write) = write {
-                    s.asks[by] = Word::of(Ask::Accept(write)).map(|w| (by as u64, w));
+                    s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
                 }
             }
             DutyStep::Keep(by) => {
@@ -289,17 +301,17 @@
             DutyStep::Restart(voter) => {
                 s.left.0 -= 1;
                 // Of how often it wrote nothing is said here: boots alone tell lives apart in this world.
-                let found = Some(Stored { writes: 0, registers: s.voters[voter].registers() });
+                let found = Some(StoredVoter { write_count: 0, registers: s.voters[voter].registers() });
                 s.voters[voter] = Voter::new(NOW, Self::life(voter, 1), BOOT + 1, lease, found);
             }
             DutyStep::Wipe(voter, copy) => {
                 s.left.1 -= 1;
                 // A copy of before anything was promised, or nothing at all.
-                let found = copy.then(Stored::default);
+                let found = copy.then(StoredVoter::default);
                 s.voters[voter] = Voter::new(NOW, Self::life(voter, 2), BOOT, lease, found);
             }
             DutyStep::Learn(voter, from) => {
-                let of = s.voters[from].standing();
+                let of = s.voters[from].flags();
                 let register = s.voters[from].registers().remove(&DUTY);
                 let said = register.as_ref().map(|r| (DUTY, r));
                 let one = &mut s.voters[voter];
@@ -308,7 +320,17 @@
                 let nonce = nonce.unwrap_or_else(|| one.nonce());
                 // All remember the last life of each: that of a copy is another one.
                 let remembers = (Some((BOOT, 0)), 0);
-                one.told(NOW, lease, &electorate, from as u64, nonce, of, remembers, said, (0, 1));
+                one.handle_recovery_response(
+                    NOW,
+                    lease,
+                    &electorate,
+                    from as u64,
+                    nonce,
+                    of,
+                    remembers,
+                    said,
+                    (0, 1),
+                );
             }
         }
         // Set back to one reading of all clocks.
@@ -321,16 +343,16 @@
         if let Some(broken) = s.broken {
             return Some(broken.to_owned());
         }
-        let holds = |by: usize| s.seekers[by].term().is_some_and(|t| t.holds(NOW));
+        let holds = |by: usize| s.seekers[by].term().is_some_and(|t| t.is_held(NOW));
         (holds(0) && holds(1)).then(|| "two hold it at once".to_owned())
     }
 }
 
-fn hear(s: &mut DutyState, setting: &Setting<'_>, by: usize, voter: usize, word: &Word, comes: bool) {
-    let Some(kept): Option<&mut Kept> = s.voters[voter].duty(DUTY) else { return };
+fn hear(s: &mut DutyState, setting: &ProposerContext<'_>, by: usize, voter: usize, word: &Word, comes: bool) {
+    let Some(kept): Option<&mut LeasedRegister> = s.voters[voter].register_mut(DUTY) else { return };
     let ruling = match word {
         Word::Prepare(ballot) => kept.prepare(NOW, *ballot),
-        Word::Accept { ballot, seq, post } => kept.accept(NOW, setting.lease, *ballot, *seq, post.clone()),
+        Word::Accept { ballot, seq, value } => kept.accept(NOW, setting.lease, *ballot, *seq, value.clone()),
     };
     if !comes {
         return;
@@ -338,14 +360,14 @@
     let seeker = &mut s.seekers[by];
     let mut told = Vec::new();
     let mut ask = None;
-    match ruling.answer {
-        yarrowhill_duties::Answer::Promise { ballot, accepted } => {
-            ask = seeker.promised(NOW, setting, voter as u64, ballot, accepted);
+    match ruling.response {
+        yarrowhill_duties::Response::Promise { ballot, accepted } => {
+            ask = seeker.handle_promise(NOW, setting, voter as u64, ballot, accepted);
         }
-        yarrowhill_duties::Answer::Accepted { ballot, seq } => {
-            told = seeker.accepted(NOW, setting, voter as u64, ballot, seq);
+        yarrowhill_duties::Response::Accepted { ballot, seq } => {
+            told = seeker.handle_accepted(NOW, setting, voter as u64, ballot, seq);
         }
-        yarrowhill_duties::Answer::Refused { promised, .. } => {
+        yarrowhill_duties::Response::Refused { promised, .. } => {
             // What it hears of higher numbers is of use to it, and to nothing that must hold.
             let _ = promised;
         }
@@ -356,7 +378,7 @@
     for decided in told {
         let post = seeker.term().and_then(|t| t.decided()).cloned().unwrap_or_default();
         match decided {
-            Decided::Taken => {
+            Decision::Acquired => {
                 let done = s.decided.keys().next_back().copied().unwrap_or(0);
                 if post.step < done || s.decided.get(&post.step).is_some_and(|p| *p != post.progress) {
                     s.broken = Some("one takes it without what was done before");
@@ -366,15 +388,15 @@
                 }
                 s.token = post.token;
             }
-            Decided::Step(step) => {
+            Decision::Step(step) => {
                 let before = s.decided.insert(step, post.progress.clone());
                 if before.is_some_and(|before| before != post.progress) {
                     s.broken = Some("a step is decided twice");
                 }
             }
-            Decided::Given(_) => {}
+            Decision::Released(_) => {}
         }
-        if matches!(decided, Decided::Given(_)) {
+        if matches!(decided, Decision::Released(_)) {
             s.asks[by] = None;
         }
     }
@@ -396,7 +418,7 @@
 #[derive(Clone, Debug, Default)]
 struct Disk {
     /// What was written, in order.
-    written: Vec<Stored>,
+    written: Vec<StoredVoter>,
     full: bool,
 }
 
@@ -419,27 +441,27 @@
     /// Works: writes a step of progress whenever it holds and the last one is decided.
     pending: BTreeMap<u64, Vec<u8>>,
     next_work: Micros,
-    out: Vec<(usize, Letter)>,
+    out: Vec<(usize, Envelope)>,
 }
 
 impl Holder {
     fn collect(&mut self, now: Micros) {
         loop {
-            let outputs = self.duties.outputs();
+            let outputs = self.duties.take_outputs();
             if outputs.is_empty() {
                 return;
             }
             let mut own = Vec::new();
             for output in outputs {
                 match output {
-                    Output::Write(_) if self.disk.full => break,
-                    Output::Write(stored) => {
+                    Output::Persist(_) if self.disk.full => break,
+                    Output::Persist(stored) => {
                         self.disk.written.push(stored);
-                        self.duties.written();
+                        self.duties.persisted();
                     }
-                    Output::Forget => self.disk.written.clear(),
-                    Output::Send { to, letter } if to == self.me => own.push(letter),
-                    Output::Send { to, letter } => self.out.push((to as usize, letter)),
+                    Output::Erase => self.disk.written.clear(),
+                    Output::Send { to, envelope: letter } if to == self.me => own.push(letter),
+                    Output::Send { to, envelope: letter } => self.out.push((to as usize, letter)),
                     Output::Event(event) => self.heard(event),
                 }
             }
@@ -450,7 +472,7 @@
     fn heard(&mut self, event: Event) {
         let mut book = self.book.borrow_mut();
         match event {
-            Event::Took { duty, token, step } => {
+            Event::Acquired { duty, token, step } => {
                 book.terms += 1;
                 let last = book.taken.insert(duty, (token, self.me));
                 if let Some((before, who)) = last.filter(|(before, _)| *before >= token) {
@@ -462,7 +484,7 @@
                 }
                 self.pending.remove(&duty);
             }
-            Event::Step { duty, token, step } => {
+            Event::StepDecided { duty, token, step } => {
                 let done = self.pending.remove(&duty).unwrap_or_default();
                 let before = book.steps.insert((duty, step), (token, done.clone()));
                 if let Some((other, _)) = before.filter(|(other, what)| *other != token || *what != done) {
@@ -482,7 +504,7 @@
         for duty in ids {
             let Some(held) = self.duties.held(now, duty) else { continue };
             let done = [held.token.to_le_bytes(), (held.step + 1).to_le_bytes()].concat();
-            if self.duties.step(now, &held, done.clone()).is_ok() {
+            if self.duties.record_step(now, &held, done.clone()).is_ok() {
                 self.pending.insert(duty, done);
             }
         }
@@ -490,7 +512,7 @@
 }
 
 impl Member for Holder {
-    type Packet = Letter;
+    type Packet = Envelope;
 
     fn tick(&mut self, now: Micros) {
         self.duties.tick(now);
@@ -499,12 +521,12 @@
         self.collect(now);
     }
 
-    fn handle(&mut self, now: Micros, from: usize, packet: Letter) {
+    fn handle(&mut self, now: Micros, from: usize, packet: Envelope) {
         self.duties.handle(now, from as u64, packet);
         self.collect(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Letter)> {
+    fn sends(&mut self) -> Vec<(usize, Envelope)> {
         std::mem::take(&mut self.out)
     }
 
@@ -513,7 +535,7 @@
     }
 }
 
-fn size(letter: &Letter) -> usize {
+fn size(letter: &Envelope) -> usize {
     yarrowhill_fleet::encode_duty(letter).map_or(usize::MAX, |bytes| bytes.len())
 }
 
@@ -522,7 +544,7 @@
     disks: Vec<Disk>,
     book: Rc<RefCell<Book>>,
     names: Vec<Duty>,
-    voters: Electorate,
+    voters: VoterSet,
     boots: Vec<u64>,
     lives: Vec<u64>,
     /// When each started last, and when it ended (of the world).
@@ -547,7 +569,7 @@
             book: Rc::default(),
             names: (0..duties).map(|n| Duty::new(&format!("duty {n}"))).collect(),
             // Spread over the numbers.
-            voters: Electorate::of((0..electors).map(|n| (n * members / electors) as u64)),
+            voters: VoterSet::new((0..electors).map(|n| (n * members / electors) as u64)),
             boots: vec![0; members],
             lives: vec![0; members],
             started: vec![0; members],
@@ -564,13 +586,13 @@
         self.started[n] = self.fleet.now();
         self.boots[n] += 1;
         self.lives[n] += 1;
-        let me = Life { member: n as u64, life: self.lives[n] };
+        let me = ProcessId { member: n as u64, instance: self.lives[n] };
         let lease = Lease::new(HOLD, DRIFT);
         let found = disk.written.last().cloned();
         let names = self.names.clone();
         let mut duties = Duties::new(now, me, self.boots[n], lease, found, names, self.voters.clone());
         for other in 0..self.size {
-            duties.saw(other as u64, self.boots[other], self.lives[other]);
+            duties.record_instance(other as u64, self.boots[other], self.lives[other]);
         }
         let book = self.book.clone();
         let holder = Holder {
@@ -586,7 +608,10 @@
         // What the others hear of it by membership; of a copy it is what they heard of the last life.
         let (boot, life) = (self.boots[n], self.lives[n]);
         for other in 0..self.size {
-            self.fleet.member_mut(other).into_iter().for_each(|m| m.duties.saw(n as u64, boot, life));
+            self.fleet
+                .member_mut(other)
+                .into_iter()
+                .for_each(|m| m.duties.record_instance(n as u64, boot, life));
         }
     }
 
@@ -594,7 +619,7 @@
         if let Some(member) = self.fleet.member(n) {
             self.disks[n] = member.disk.clone();
             // One that was started from a copy and has not voted since ended when it last did.
-            if member.duties.vote_status() != yarrowhill_duties::Vote::Checks {
+            if member.duties.vote_status() != yarrowhill_duties::VoteStatus::Checking {
                 self.ended[n] = self.fleet.now();
                 self.copied.remove(&n);
             }
@@ -608,12 +633,12 @@
             let there = of(n);
             let candidates = there
                 .iter()
-                .map(|m| Candidate { member: *m as u64, zone: String::new(), poor: false })
+                .map(|m| Candidate { member: *m as u64, zone: String::new(), degraded: false })
                 .collect();
             let may = self.voters.is_majority(|id| there.contains(&(id as usize)));
             let now = self.fleet.clock(n);
             if let Some(member) = self.fleet.member_mut(n) {
-                member.duties.set_there(now, candidates, may);
+                member.duties.set_candidates(now, candidates, may);
             }
         }
     }
@@ -622,7 +647,7 @@
     fn witness(&self, of: usize) -> bool {
         let runs = |n: usize| self.started[n] < self.ended[of] && !self.fleet.is_stopped(n);
         self.voters
-            .now
+            .current
             .iter()
             .map(|id| *id as usize)
             .any(|n| n != of && self.fleet.member(n).is_some() && runs(n))
@@ -672,7 +697,7 @@
     let all: Vec<usize> = (0..members).collect();
     (0..members).for_each(|n| scene.start(n));
     scene.see(|_| all.clone());
-    let voters: Vec<usize> = scene.voters.now.iter().map(|id| *id as usize).collect();
+    let voters: Vec<usize> = scene.voters.current.iter().map(|id| *id as usize).collect();
     // Voters that lost their folder and may not have learnt yet: fewer than a majority at a time, as is assumed.
     let mut forgot: BTreeSet<usize> = BTreeSet::new();
     scene.run_until(6 * HOLD)?;
@@ -680,7 +705,10 @@
     while scene.fleet.now() < trouble {
         let one = rng.random_range(0..members);
         forgot.retain(|n| {
-            scene.fleet.member(*n).is_none_or(|m| m.duties.vote_status() != yarrowhill_duties::Vote::Votes)
+            scene
+                .fleet
+                .member(*n)
+                .is_none_or(|m| m.duties.vote_status() != yarrowhill_duties::VoteStatus::Voting)
         });
         match rng.random_range(0..13) {
             0 => scene.fleet.links.islands(&all.iter().map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
@@ -705,7 +733,7 @@
             9 if scene.fleet.member(one).is_none() => {
                 // An older copy, or none. A voter among the voters: not too many at once.
                 let unsure = |n: &&usize| match scene.fleet.member(**n) {
-                    Some(member) => member.duties.vote_status() != yarrowhill_duties::Vote::Votes,
+                    Some(member) => member.duties.vote_status() != yarrowhill_duties::VoteStatus::Voting,
                     None => forgot.contains(*n) || scene.disks[**n].written.is_empty(),
                 };
                 let lost = voters.iter().filter(|n| **n != one).filter(unsure).count();
@@ -734,7 +762,7 @@
                                 .fleet
                                 .member_mut(n)
                                 .into_iter()
-                                .for_each(|m| m.duties.saw(one as u64, boot, life));
+                                .for_each(|m| m.duties.record_instance(one as u64, boot, life));
                         }
                     }
                     scene.start(one);
@@ -752,12 +780,16 @@
             }
             _ => {
                 let wish = if rng.random_bool(0.5) {
-                    yarrowhill_duties::Wish::Yield
+                    yarrowhill_duties::OperatorRequest::Yield
                 } else {
-                    yarrowhill_duties::Wish::Pin(Some(rng.random_range(0..members) as u64))
+                    yarrowhill_duties::OperatorRequest::Pin(Some(rng.random_range(0..members) as u64))
                 };
                 let (now, name) = (scene.fleet.clock(one), scene.names[0].name.clone());
-                scene.fleet.member_mut(one).into_iter().for_each(|m| drop(m.duties.wish(now, &name, wish)));
+                scene
+                    .fleet
+                    .member_mut(one)
+                    .into_iter()
+                    .for_each(|m| drop(m.duties.operator_request(now, &name, wish)));
             }
         }
         let pause = if rng.random_bool(0.3) { 0 } else { rng.random_range(0..3 * PERIOD) };
@@ -853,12 +885,12 @@
             }
             Ending::Asked => {
                 let (now, name) = (scene.fleet.clock(holder), scene.names[0].name.clone());
-                let wish = yarrowhill_duties::Wish::Yield;
+                let wish = yarrowhill_duties::OperatorRequest::Yield;
                 scene
                     .fleet
                     .member_mut(holder)
                     .into_iter()
-                    .for_each(|m| drop(m.duties.wish(now, &name, wish)));
+                    .for_each(|m| drop(m.duties.operator_request(now, &name, wish)));
             }
         }
         // Views follow when a lease is over: the others know by then that it is gone.
--- a/crates/duties/src/ballot.rs
+++ b/crates/duties/src/ballot.rs
@@ -6,11 +6,11 @@
 
 /// One process under a member's name: drawn at each start, so that two lives never share a ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct ProcessId {
     /// The member.
     pub member: u64,
     /// Its life.
-    pub life: u64,
+    pub instance: u64,
 }
 
 /// A right to write, once a majority has promised it. Its number is the duty's **token** for as long as its owner holds it.
@@ -19,7 +19,7 @@
     /// Higher than any number that a majority had promised before.
     pub number: u64,
     /// Whose.
-    pub by: Life,
+    pub proposer: ProcessId,
 }
 
 impl fmt::Display for Ballot {
@@ -30,33 +30,34 @@
 
 /// Whose answers count: a majority of the voters, and while a roster changes by a joint step a majority of those of before too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Electorate {
+pub struct VoterSet {
     /// Voters.
-    pub now: BTreeSet<u64>,
+    pub current: BTreeSet<u64>,
     /// Voters of before.
-    pub before: Option<BTreeSet<u64>>,
+    pub previous: Option<BTreeSet<u64>>,
 }
 
-impl Electorate {
+impl VoterSet {
     /// Of these voters.
-    pub fn of(now: impl IntoIterator<Item = u64>) -> Self {
-        Electorate { now: now.into_iter().collect(), before: None }
+    pub fn new(current: impl IntoIterator<Item = u64>) -> Self {
+        VoterSet { current: current.into_iter().collect(), previous: None }
     }
 
     /// Everybody whose answer counts.
     pub fn voters(&self) -> BTreeSet<u64> {
-        self.now.iter().chain(self.before.iter().flatten()).copied().collect()
+        self.current.iter().chain(self.previous.iter().flatten()).copied().collect()
     }
 
     /// Whether a member's answer counts.
-    pub fn has(&self, member: u64) -> bool {
-        self.now.contains(&member) || self.before.as_ref().is_some_and(|b| b.contains(&member))
+    pub fn contains(&self, member: u64) -> bool {
+        self.current.contains(&member) || self.previous.as_ref().is_some_and(|b| b.contains(&member))
     }
 
     /// Whether these are a majority.
-    pub fn is_majority(&self, of: impl Fn(u64) -> bool) -> bool {
-        let most = |voters: &BTreeSet<u64>| voters.iter().filter(|id| of(**id)).count() > voters.len() / 2;
-        most(&self.now) && self.before.as_ref().is_none_or(most)
+    pub fn is_majority(&self, includes: impl Fn(u64) -> bool) -> bool {
+        let most =
+            |voters: &BTreeSet<u64>| voters.iter().filter(|id| includes(**id)).count() > voters.len() / 2;
+        most(&self.current) && self.previous.as_ref().is_none_or(most)
     }
 
     /// The same of those that answered.
@@ -72,22 +73,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     /// For its holder, since it asked (microseconds); answers count for as long.
-    pub hold: Micros,
+    pub holder_duration: Micros,
     /// For a voter, since it answered: never shorter, whatever the two clocks do within the drift.
-    pub wide: Micros,
+    pub voter_duration: Micros,
 }
 
 impl Lease {
     /// Of this span, with clock rates right within `drift` (a part of 1).
-    pub fn new(hold: Micros, drift: f64) -> Self {
-        let wide = (hold as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
-        Lease { hold, wide }
+    pub fn new(holder_duration: Micros, drift: f64) -> Self {
+        let voter_duration = (holder_duration as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
+        Lease { holder_duration, voter_duration }
     }
 
     /// A voter that may have forgotten what it promised is silent for so long: a ballot's two phases, each of which counts
     /// answers for `hold` since it asked, are over by then.
-    pub fn silence(&self) -> Micros {
-        2 * self.wide
+    pub fn silent_period(&self) -> Micros {
+        2 * self.voter_duration
     }
 }
 
@@ -97,11 +98,11 @@
 
     #[test]
     fn a_joint_electorate_wants_a_majority_of_both() {
-        let joint = Electorate { now: [1, 2, 3].into(), before: Some([3, 4, 5].into()) };
+        let joint = VoterSet { current: [1, 2, 3].into(), previous: Some([3, 4, 5].into()) };
         assert!(!joint.is_majority(|id| id <= 2));
         assert!(joint.is_majority(|id| [1, 3, 4].contains(&id)));
         assert_eq!(joint.voters().len(), 5);
-        assert!(!Electorate::of([1, 2, 3, 4]).is_majority(|id| id <= 2), "half is no majority");
+        assert!(!VoterSet::new([1, 2, 3, 4]).is_majority(|id| id <= 2), "half is no majority");
     }
 
     #[test]
@@ -109,7 +110,9 @@
         for drift in [0.0, 0.01, 0.1] {
             let lease = Lease::new(1_000_000, drift);
             // A slow holder and a fast voter, in the world's time.
-            assert!(lease.hold as f64 / (1.0 - drift) <= lease.wide as f64 / (1.0 + drift));
+            assert!(
+                lease.holder_duration as f64 / (1.0 - drift) <= lease.voter_duration as f64 / (1.0 + drift)
+            );
         }
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -24,17 +24,22 @@
 //! - `choice`: who should; `core`: all duties of a member
 
 mod ballot;
-mod ranking;
 mod core;
-mod register;
 mod proposer;
+mod ranking;
+mod register;
 mod term;
 mod voter;
 
-pub use ballot::{Ballot, Electorate, Lease, Life, Micros};
-pub use ranking::{Candidate, Duty, RANKS, ranks};
-pub use core::{Body, DUTIES_MOST, Duties, DutyStatus, Event, Held, Letter, Output, Wish, WishError};
-pub use register::{Accepted, Answer, Kept, PROGRESS_MOST, Post, Reason, Register, Ruling};
-pub use proposer::{Ask, Belief, Head, Seeker, Seen, Setting};
-pub use term::{Decided, StepError, Term, Write};
-pub use voter::{Standing, Stored, Vote, Voter};
+pub use ballot::{Ballot, Lease, Micros, ProcessId, VoterSet};
+pub use core::{
+    Duties, DutyStatus, Envelope, Event, HeldDuty, MAX_DUTIES, OperatorRequest, OperatorRequestError, Output,
+    Payload,
+};
+pub use proposer::{AcceptedSummary, KnownState, Proposer, ProposerContext, RegisterSummary, VoterRequest};
+pub use ranking::{Candidate, Duty, MAX_RANKED, rank_candidates};
+pub use register::{
+    Accepted, LeasedRegister, MAX_PROGRESS_BYTES, Reason, Register, RegisterValue, Response, VoterReply,
+};
+pub use term::{Decision, StepError, Term, Write};
+pub use voter::{StoredVoter, VoteStatus, Voter, VoterFlags};
--- a/crates/duties/src/proposer.rs
+++ b/crates/duties/src/proposer.rs
@@ -1,29 +1,29 @@
 //! How a member comes to hold a duty: it looks who does, asks a majority for a ballot, and writes.
 
-use crate::ballot::{Ballot, Electorate, Lease, Life, Micros};
-use crate::register::{Accepted, Post, Reason};
-use crate::term::{Decided, Term, Write};
+use crate::ballot::{Ballot, Lease, Micros, ProcessId, VoterSet};
+use crate::register::{Accepted, Reason, RegisterValue};
+use crate::term::{Decision, Term, Write};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// What a voter tells of a duty to one that only looks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seen {
+pub struct RegisterSummary {
     /// What it has promised.
     pub promised: Ballot,
     /// Whose lease runs for how long (microseconds).
-    pub leased: Option<(Life, Micros)>,
+    pub lease: Option<(ProcessId, Micros)>,
     /// What it has accepted, without its progress.
-    pub head: Option<Head>,
+    pub accepted: Option<AcceptedSummary>,
 }
 
 /// What stands of a duty, without its progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Head {
+pub struct AcceptedSummary {
     /// The ballot and the word of it.
-    pub at: (Ballot, u64),
+    pub version: (Ballot, u64),
     /// Who holds it.
-    pub holder: Option<Life>,
+    pub holder: Option<ProcessId>,
     /// Why the last term ended.
     pub reason: Reason,
     /// To whom it is pinned.
@@ -32,30 +32,30 @@
     pub step: u64,
 }
 
-impl Head {
+impl AcceptedSummary {
     /// Of what was accepted.
-    pub fn of(accepted: &Accepted) -> Self {
-        let Post { holder, reason, pinned, step, .. } = accepted.post;
-        Head { at: accepted.order(), holder, reason, pinned, step }
+    pub fn from_accepted(accepted: &Accepted) -> Self {
+        let RegisterValue { holder, reason, pinned, step, .. } = accepted.value;
+        AcceptedSummary { version: accepted.version(), holder, reason, pinned, step }
     }
 }
 
 /// What a member believes of a duty that it does not hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Belief {
+pub struct KnownState {
     /// What stands, as a majority told.
-    pub head: Option<Head>,
+    pub accepted: Option<AcceptedSummary>,
     /// Until when its holder's lease runs, by this member's clock.
-    pub until: Micros,
+    pub lease_until: Micros,
     /// When it was told.
-    pub told: Micros,
+    pub updated_at: Micros,
 }
 
 /// What goes to all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum VoterRequest {
     /// Who holds it?
-    Look,
+    Query,
     /// May this ballot write?
     Prepare(Ballot),
     /// This holds from now on.
@@ -65,21 +65,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Rest,
-    Looking { asked: Micros, seen: BTreeMap<u64, Seen> },
+    Looking { asked: Micros, seen: BTreeMap<u64, RegisterSummary> },
     Preparing { ballot: Ballot, asked: Micros, promised: BTreeMap<u64, Option<Accepted>> },
     Term(Box<Term>),
 }
 
 /// What a member does about one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seeker {
-    me: Life,
+pub struct Proposer {
+    me: ProcessId,
     phase: Phase,
     /// When it looks again.
     next: Micros,
     /// The highest number that it has heard of.
     highest: u64,
-    belief: Belief,
+    known: KnownState,
     /// To whom it is pinned, as was last told.
     pinned: Option<u64>,
     /// Looks that came to nothing in a row.
@@ -88,29 +88,29 @@
 
 /// What a member is to know when it acts.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting<'a> {
+pub struct ProposerContext<'a> {
     /// How long a term lasts.
     pub lease: Lease,
     /// Whose answers count.
-    pub voters: &'a Electorate,
+    pub voters: &'a VoterSet,
     /// Its place among those that should try, the first being 0; none if others should.
     pub rank: Option<usize>,
-    /// A span by chance, up to an eighth of a lease: those of one rank do not try at once.
-    pub chance: Micros,
+    /// A span by jitter, up to an eighth of a lease: those of one rank do not try at once.
+    pub jitter: Micros,
 }
 
 /// Those of no rank look so seldom (leases).
 const LOOK_LEASES: u64 = 10;
 
-impl Seeker {
+impl Proposer {
     /// A member that starts, and looks soon.
-    pub fn new(now: Micros, me: Life) -> Self {
-        Seeker {
+    pub fn new(now: Micros, me: ProcessId) -> Self {
+        Proposer {
             me,
             phase: Phase::Rest,
             next: now,
             highest: 0,
-            belief: Belief::default(),
+            known: KnownState::default(),
             pinned: None,
             failed: 0,
         }
@@ -127,15 +127,17 @@
     }
 
     /// What it believes where it holds nothing.
-    pub fn belief(&self) -> Belief {
-        self.belief
+    pub fn known_state(&self) -> KnownState {
+        self.known
     }
 
-    /// When [`Seeker::tick`] is to be called.
+    /// When [`Proposer::tick`] is to be called.
     pub fn next_wake(&self, lease: Lease) -> Micros {
         match &self.phase {
             Phase::Rest => self.next,
-            Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => asked.saturating_add(lease.hold),
+            Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => {
+                asked.saturating_add(lease.holder_duration)
+            }
             Phase::Term(term) => term.next_wake(),
         }
     }
@@ -146,14 +148,14 @@
     }
 
     /// Its holder gave it up: whoever should take it looks at once.
-    pub fn freed(&mut self, now: Micros, pinned: Option<u64>) {
+    pub fn handle_release(&mut self, now: Micros, pinned: Option<u64>) {
         self.pinned = pinned;
-        (self.belief.until, self.failed) = (now, 0);
-        self.hurry(now);
+        (self.known.lease_until, self.failed) = (now, 0);
+        self.query_by(now);
     }
 
     /// It is to look at once.
-    pub fn hurry(&mut self, now: Micros) {
+    pub fn query_by(&mut self, now: Micros) {
         self.next = self.next.min(now);
     }
 
@@ -162,58 +164,69 @@
     }
 
     /// A pause after a try that came to nothing: longer each time, up to four leases.
-    fn pause(&mut self, now: Micros, setting: &Setting<'_>) {
+    fn pause(&mut self, now: Micros, setting: &ProposerContext<'_>) {
         self.failed = (self.failed + 1).min(4);
-        let span = ((setting.lease.hold / 4) << self.failed).min(setting.lease.hold * 4);
-        self.rest(now + span / 2 + setting.chance * u64::from(self.failed));
+        let span =
+            ((setting.lease.holder_duration / 4) << self.failed).min(setting.lease.holder_duration * 4);
+        self.rest(now + span / 2 + setting.jitter * u64::from(self.failed));
     }
 
     /// Time has passed. What goes to all voters, and whether a term ended by it.
-    pub fn tick(&mut self, now: Micros, setting: &Setting<'_>) -> (Option<Ask>, Option<u64>) {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        setting: &ProposerContext<'_>,
+    ) -> (Option<VoterRequest>, Option<u64>) {
         match &mut self.phase {
-            Phase::Term(term) if term.is_over(now) => {
+            Phase::Term(term) if term.is_expired(now) => {
                 let token = term.decided().map(|_| term.token());
                 self.pause(now, setting);
                 (None, token)
             }
-            Phase::Term(term) => (term.tick(now, setting.lease).map(Ask::Accept), None),
+            Phase::Term(term) => (term.tick(now, setting.lease).map(VoterRequest::Accept), None),
             Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => {
-                if now >= asked.saturating_add(setting.lease.hold) {
+                if now >= asked.saturating_add(setting.lease.holder_duration) {
                     self.pause(now, setting);
                 }
                 (None, None)
             }
             Phase::Rest if now >= self.next => {
                 self.phase = Phase::Looking { asked: now, seen: BTreeMap::new() };
-                (Some(Ask::Look), None)
+                (Some(VoterRequest::Query), None)
             }
             Phase::Rest => (None, None),
         }
     }
 
     /// A voter told what stands.
-    pub fn seen(&mut self, now: Micros, setting: &Setting<'_>, by: u64, told: Seen) -> Option<Ask> {
+    pub fn handle_query_reply(
+        &mut self,
+        now: Micros,
+        setting: &ProposerContext<'_>,
+        by: u64,
+        told: RegisterSummary,
+    ) -> Option<VoterRequest> {
         self.highest = self.highest.max(told.promised.number);
         let Phase::Looking { asked, seen } = &mut self.phase else { return None };
-        if !setting.voters.has(by) || now >= asked.saturating_add(setting.lease.hold) {
+        if !setting.voters.contains(by) || now >= asked.saturating_add(setting.lease.holder_duration) {
             return None;
         }
         seen.insert(by, told);
         if !setting.voters.has_majority(seen) {
             return None;
         }
-        let head = seen.values().filter_map(|s| s.head).max_by_key(|head| head.at);
-        let left = seen.values().filter_map(|s| s.leased).map(|(_, left)| left).max().unwrap_or(0);
-        self.belief = Belief { head, until: now + left, told: now };
+        let head = seen.values().filter_map(|s| s.accepted).max_by_key(|head| head.version);
+        let left = seen.values().filter_map(|s| s.lease).map(|(_, left)| left).max().unwrap_or(0);
+        self.known = KnownState { accepted: head, lease_until: now + left, updated_at: now };
         self.pinned = head.and_then(|head| head.pinned);
-        let Lease { hold, .. } = setting.lease;
+        let hold = setting.lease.holder_duration;
         let Some(rank) = setting.rank else {
             self.failed = 0;
-            self.rest(now + hold * LOOK_LEASES + setting.chance);
+            self.rest(now + hold * LOOK_LEASES + setting.jitter);
             return None;
         };
         // Each rank leaves the ones before it a quarter of a lease.
-        let stagger = hold / 4 * rank as u64 + if rank > 0 { setting.chance } else { 0 };
+        let stagger = hold / 4 * rank as u64 + if rank > 0 { setting.jitter } else { 0 };
         if left > 0 {
             self.failed = 0;
             self.rest(now + left + stagger);
@@ -229,77 +242,77 @@
     }
 
     /// Asks for a ballot, whatever stands: voters say whether it may.
-    pub fn prepare(&mut self, now: Micros) -> Ask {
-        let ballot = Ballot { number: self.highest + 1, by: self.me };
+    pub fn prepare(&mut self, now: Micros) -> VoterRequest {
+        let ballot = Ballot { number: self.highest + 1, proposer: self.me };
         self.highest = ballot.number;
         self.phase = Phase::Preparing { ballot, asked: now, promised: BTreeMap::new() };
-        Ask::Prepare(ballot)
+        VoterRequest::Prepare(ballot)
     }
 
     /// The highest number that it has heard of.
-    pub fn highest(&self) -> u64 {
+    pub fn highest_number(&self) -> u64 {
         self.highest
     }
 
     /// A voter has promised.
-    pub fn promised(
+    pub fn handle_promise(
         &mut self,
         now: Micros,
-        setting: &Setting<'_>,
+        setting: &ProposerContext<'_>,
         by: u64,
         of: Ballot,
         accepted: Option<Accepted>,
-    ) -> Option<Ask> {
+    ) -> Option<VoterRequest> {
         let Phase::Preparing { ballot, asked, promised } = &mut self.phase else { return None };
         // What was asked for long ago may have been forgotten by now.
-        let late = now >= asked.saturating_add(setting.lease.hold);
-        if *ballot != of || late || !setting.voters.has(by) {
+        let late = now >= asked.saturating_add(setting.lease.holder_duration);
+        if *ballot != of || late || !setting.voters.contains(by) {
             return None;
         }
         promised.insert(by, accepted);
         if !setting.voters.has_majority(promised) {
             return None;
         }
-        let last = promised.values().flatten().max_by_key(|a| a.order());
-        let before = last.map(|a| a.post.clone()).unwrap_or_default();
+        let last = promised.values().flatten().max_by_key(|a| a.version());
+        let before = last.map(|a| a.value.clone()).unwrap_or_default();
         let (term, first) = Term::begin(now, setting.lease, of, before);
         self.phase = Phase::Term(Box::new(term));
-        Some(Ask::Accept(first))
+        Some(VoterRequest::Accept(first))
     }
 
     /// A voter has accepted a word.
-    pub fn accepted(
+    pub fn handle_accepted(
         &mut self,
         now: Micros,
-        setting: &Setting<'_>,
+        setting: &ProposerContext<'_>,
         by: u64,
         of: Ballot,
         seq: u64,
-    ) -> Vec<Decided> {
+    ) -> Vec<Decision> {
         let Phase::Term(term) = &mut self.phase else { return Vec::new() };
         if term.ballot() != of {
             return Vec::new();
         }
-        let told = term.accepted(now, setting.lease, setting.voters, by, seq);
-        self.pinned = term.decided().and_then(|post| post.pinned);
-        if told.contains(&Decided::Taken) {
+        let told = term.handle_accepted(now, setting.lease, setting.voters, by, seq);
+        self.pinned = term.decided().and_then(|value| value.pinned);
+        if told.contains(&Decision::Acquired) {
             self.failed = 0;
         }
-        if told.iter().any(|d| matches!(d, Decided::Given(_))) {
+        if told.iter().any(|d| matches!(d, Decision::Released(_))) {
             // The others first.
-            self.rest(now + setting.lease.hold * 2);
+            self.rest(now + setting.lease.holder_duration * 2);
         }
         told
     }
 
     /// A voter does not do what it was asked for.
-    pub fn refused(
+    pub fn handle_refusal(
         &mut self,
         now: Micros,
-        setting: &Setting<'_>,
+        setting: &ProposerContext<'_>,
         of: Ballot,
         promised: Ballot,
-        leased: Option<(Life, Micros)>,
+        leased: Option<(ProcessId, Micros)>,
     ) {
         self.highest = self.highest.max(promised.number);
         // A term that holds goes on as long as a majority accepts; one voter may be ahead for nothing.
@@ -315,7 +328,7 @@
     /// The same on a clock that is set back; for searches.
     #[must_use]
     pub fn rebased(&self, to: Micros, by: Micros, lease: Lease) -> Self {
-        let back = |at: Micros| at.saturating_sub(by).max(to.saturating_sub(2 * lease.hold));
+        let back = |at: Micros| at.saturating_sub(by).max(to.saturating_sub(2 * lease.holder_duration));
         let mut next = self.clone();
         match &mut next.phase {
             Phase::Rest => {}
@@ -323,7 +336,7 @@
             Phase::Term(term) => **term = term.rebased(to, by, lease),
         }
         // When it looks, and what it believes, decides when it tries, and nothing that must hold.
-        (next.next, next.belief, next.failed) = (to, Belief::default(), 0);
+        (next.next, next.known, next.failed) = (to, KnownState::default(), 0);
         next
     }
 }
--- a/crates/duties/src/ranking.rs
+++ b/crates/duties/src/ranking.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// So many try; the others look now and then.
-pub const RANKS: usize = 3;
+pub const MAX_RANKED: usize = 3;
 
 /// A duty as configuration tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,21 +36,21 @@
     /// Its zone.
     pub zone: String,
     /// It is held to be slow, or suspected: the others first.
-    pub poor: bool,
+    pub degraded: bool,
 }
 
 /// Those that should try, the first of them first: the one that it is pinned to, those of its zone, those in good health, and by
 /// rendezvous hashing, so that duties spread over members and one that goes moves its own alone.
-pub fn ranks(duty: &Duty, pinned: Option<u64>, there: &[Candidate]) -> Vec<u64> {
+pub fn rank_candidates(duty: &Duty, pinned: Option<u64>, there: &[Candidate]) -> Vec<u64> {
     let id = duty.id();
     let key = |c: &Candidate| {
         let near = duty.zone.as_ref().is_none_or(|zone| *zone == c.zone);
         let hash = xxh3_64(&[id.to_le_bytes(), c.member.to_le_bytes()].concat());
-        (pinned != Some(c.member), c.poor, !near, std::cmp::Reverse(hash))
+        (pinned != Some(c.member), c.degraded, !near, std::cmp::Reverse(hash))
     };
     let mut order: Vec<&Candidate> = there.iter().collect();
     order.sort_by_key(|c| key(c));
-    order.into_iter().take(RANKS).map(|c| c.member).collect()
+    order.into_iter().take(MAX_RANKED).map(|c| c.member).collect()
 }
 
 #[cfg(test)]
@@ -60,7 +60,7 @@
 
     fn there(members: u64) -> Vec<Candidate> {
         (0..members)
-            .map(|member| Candidate { member, zone: format!("z{}", member % 3), poor: false })
+            .map(|member| Candidate { member, zone: format!("z{}", member % 3), degraded: false })
             .collect()
     }
 
@@ -68,12 +68,15 @@
     fn pins_come_first_then_health_and_zone() {
         let mut all = there(9);
         let duty = Duty { zone: Some("z1".into()), ..Duty::new("a") };
-        assert!(ranks(&duty, None, &all).iter().all(|m| m % 3 == 1));
-        let first = ranks(&duty, None, &all)[0];
-        all.iter_mut().filter(|c| c.member == first).for_each(|c| c.poor = true);
-        assert!(!ranks(&duty, None, &all).contains(&first), "two of the zone are well, and then others");
-        assert_eq!(ranks(&duty, Some(5), &all)[0], 5);
-        assert_eq!(ranks(&duty, Some(77), &all)[0] % 3, 1, "pinned to one that is not there");
+        assert!(rank_candidates(&duty, None, &all).iter().all(|m| m % 3 == 1));
+        let first = rank_candidates(&duty, None, &all)[0];
+        all.iter_mut().filter(|c| c.member == first).for_each(|c| c.degraded = true);
+        assert!(
+            !rank_candidates(&duty, None, &all).contains(&first),
+            "two of the zone are well, and then others"
+        );
+        assert_eq!(rank_candidates(&duty, Some(5), &all)[0], 5);
+        assert_eq!(rank_candidates(&duty, Some(77), &all)[0] % 3, 1, "pinned to one that is not there");
     }
 
     #[test]
@@ -83,11 +86,11 @@
         let (mut moved, mut own) = (0, 0);
         for n in 0..200 {
             let duty = Duty::new(&format!("duty {n}"));
-            let first = ranks(&duty, None, &all)[0];
+            let first = rank_candidates(&duty, None, &all)[0];
             *held.entry(first).or_default() += 1;
             let without: Vec<Candidate> = all.iter().filter(|c| c.member != 4).cloned().collect();
             own += usize::from(first == 4);
-            moved += usize::from(ranks(&duty, None, &without)[0] != first);
+            moved += usize::from(rank_candidates(&duty, None, &without)[0] != first);
         }
         assert!(held.len() == 10 && held.values().all(|n| (8..=36).contains(n)), "{held:?}");
         assert_eq!(moved, own);
--- a/crates/duties/src/register.rs
+++ b/crates/duties/src/register.rs
@@ -1,10 +1,10 @@
 //! What stands of a duty at one voter, and which way it may change.
 
-use crate::ballot::{Ballot, Lease, Life, Micros};
+use crate::ballot::{Ballot, Lease, Micros, ProcessId};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of progress that a term hands on, at the most.
-pub const PROGRESS_MOST: usize = 512;
+pub const MAX_PROGRESS_BYTES: usize = 512;
 
 /// Why a duty stands as it does: told to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -25,9 +25,9 @@
 
 /// What a duty's register holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Post {
+pub struct RegisterValue {
     /// Who holds it; nobody where it was given up.
-    pub holder: Option<Life>,
+    pub holder: Option<ProcessId>,
     /// The token of the term in which this was written.
     pub token: u64,
     /// Why the last term ended.
@@ -36,7 +36,7 @@
     pub pinned: Option<u64>,
     /// Steps of progress so far, over all terms.
     pub step: u64,
-    /// What has been done so far, as its work wants it; [`PROGRESS_MOST`] bytes at the most.
+    /// What has been done so far, as its work wants it; [`MAX_PROGRESS_BYTES`] bytes at the most.
     pub progress: Vec<u8>,
 }
 
@@ -48,12 +48,12 @@
     /// The how manieth word of it.
     pub seq: u64,
     /// What it holds since.
-    pub post: Post,
+    pub value: RegisterValue,
 }
 
 impl Accepted {
     /// Which of two holds: the later word of the higher ballot.
-    pub(crate) fn order(&self) -> (Ballot, u64) {
+    pub(crate) fn version(&self) -> (Ballot, u64) {
         (self.ballot, self.seq)
     }
 }
@@ -69,16 +69,16 @@
 
 /// A register with the lease of its holder, which needs no disk: a voter that starts counts it anew.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct LeasedRegister {
     /// What stands on disk.
     pub register: Register,
     /// Whose lease runs, and until when.
-    pub leased: Option<(Life, Micros)>,
+    pub lease: Option<(ProcessId, Micros)>,
 }
 
 /// What a voter answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// It promises.
     Promise {
         /// Which ballot.
@@ -100,70 +100,77 @@
         /// What it has promised,
         promised: Ballot,
         /// and whose lease runs for how long (microseconds).
-        leased: Option<(Life, Micros)>,
+        lease: Option<(ProcessId, Micros)>,
     },
 }
 
 /// What comes of a question: the answer, and whether the register must be on disk before it is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ruling {
+pub struct VoterReply {
     /// The answer.
-    pub answer: Answer,
+    pub response: Response,
     /// Whether the register has changed.
     pub changed: bool,
 }
 
-impl Kept {
+impl LeasedRegister {
     /// As read from disk at a start: whoever holds it may have renewed its lease just before.
-    pub fn started(register: Register, now: Micros, lease: Lease) -> Self {
-        let holder = register.accepted.as_ref().and_then(|a| a.post.holder);
-        Kept { leased: holder.map(|life| (life, now + lease.wide)), register }
+    pub fn restored(register: Register, now: Micros, lease: Lease) -> Self {
+        let holder = register.accepted.as_ref().and_then(|a| a.value.holder);
+        LeasedRegister { lease: holder.map(|life| (life, now + lease.voter_duration)), register }
     }
 
     /// Whose lease runs at a moment, and for how long.
-    pub fn leased(&self, now: Micros) -> Option<(Life, Micros)> {
-        self.leased.filter(|(_, until)| now < *until).map(|(life, until)| (life, until - now))
+    pub fn active_lease(&self, now: Micros) -> Option<(ProcessId, Micros)> {
+        self.lease.filter(|(_, until)| now < *until).map(|(life, until)| (life, until - now))
     }
 
-    fn refused(&self, now: Micros, ballot: Ballot) -> Ruling {
-        let (promised, leased) = (self.register.promised, self.leased(now));
-        Ruling { answer: Answer::Refused { ballot, promised, leased }, changed: false }
+    fn refused(&self, now: Micros, ballot: Ballot) -> VoterReply {
+        let (promised, lease) = (self.register.promised, self.active_lease(now));
+        VoterReply { response: Response::Refused { ballot, promised, lease }, changed: false }
     }
 
     /// Somebody wants to write: may it? Not while another's lease runs, and not behind a number that was promised.
-    pub fn prepare(&mut self, now: Micros, ballot: Ballot) -> Ruling {
+    pub fn prepare(&mut self, now: Micros, ballot: Ballot) -> VoterReply {
         let again = ballot == self.register.promised;
-        let foreign = self.leased(now).is_some_and(|(life, _)| life != ballot.by);
+        let foreign = self.active_lease(now).is_some_and(|(life, _)| life != ballot.proposer);
         if foreign || (!again && ballot.number <= self.register.promised.number) {
             return self.refused(now, ballot);
         }
         self.register.promised = ballot;
-        let answer = Answer::Promise { ballot, accepted: self.register.accepted.clone() };
-        Ruling { answer, changed: !again }
+        let response = Response::Promise { ballot, accepted: self.register.accepted.clone() };
+        VoterReply { response, changed: !again }
     }
 
     /// Somebody writes.
-    pub fn accept(&mut self, now: Micros, lease: Lease, ballot: Ballot, seq: u64, post: Post) -> Ruling {
-        let last = self.register.accepted.as_ref().map(Accepted::order);
+    pub fn accept(
+        &mut self,
+        now: Micros,
+        lease: Lease,
+        ballot: Ballot,
+        seq: u64,
+        value: RegisterValue,
+    ) -> VoterReply {
+        let last = self.register.accepted.as_ref().map(Accepted::version);
         let behind = last.is_some_and(|last| (ballot, seq) < last);
         let other = ballot.number == self.register.promised.number && ballot != self.register.promised;
-        if ballot < self.register.promised || other || behind || post.progress.len() > PROGRESS_MOST {
+        if ballot < self.register.promised || other || behind || value.progress.len() > MAX_PROGRESS_BYTES {
             return self.refused(now, ballot);
         }
-        self.leased = post.holder.map(|life| (life, now + lease.wide));
+        self.lease = value.holder.map(|life| (life, now + lease.voter_duration));
         // A renewal that changes nothing needs no disk: who starts counts the lease anew whatever was written last.
         let changed = self.register.promised != ballot
-            || self.register.accepted.as_ref().is_none_or(|a| a.ballot != ballot || a.post != post);
+            || self.register.accepted.as_ref().is_none_or(|a| a.ballot != ballot || a.value != value);
         self.register.promised = ballot;
-        self.register.accepted = Some(Accepted { ballot, seq, post });
-        Ruling { answer: Answer::Accepted { ballot, seq }, changed }
+        self.register.accepted = Some(Accepted { ballot, seq, value });
+        VoterReply { response: Response::Accepted { ballot, seq }, changed }
     }
 
     /// What another voter keeps, for one that may have forgotten: the higher of both.
-    pub fn learn(&mut self, other: &Register) {
+    pub fn merge(&mut self, other: &Register) {
         self.register.promised = self.register.promised.max(other.promised);
-        let newer = other.accepted.as_ref().map(Accepted::order)
-            > self.register.accepted.as_ref().map(Accepted::order);
+        let newer = other.accepted.as_ref().map(Accepted::version)
+            > self.register.accepted.as_ref().map(Accepted::version);
         if newer {
             self.register.accepted.clone_from(&other.accepted);
         }
@@ -174,52 +181,58 @@
 mod tests {
     use super::*;
 
-    const LEASE: Lease = Lease { hold: 10, wide: 12 };
+    const LEASE: Lease = Lease { holder_duration: 10, voter_duration: 12 };
 
     fn ballot(number: u64, member: u64) -> Ballot {
-        Ballot { number, by: Life { member, life: 1 } }
+        Ballot { number, proposer: ProcessId { member, instance: 1 } }
     }
 
-    fn post(member: u64) -> Post {
-        Post { holder: Some(Life { member, life: 1 }), ..Post::default() }
+    fn value(member: u64) -> RegisterValue {
+        RegisterValue { holder: Some(ProcessId { member, instance: 1 }), ..RegisterValue::default() }
     }
 
-    fn promised(ruling: &Ruling) -> bool {
-        matches!(ruling.answer, Answer::Promise { .. })
+    fn promised(reply: &VoterReply) -> bool {
+        matches!(reply.response, Response::Promise { .. })
     }
 
     #[test]
     fn nobody_else_is_promised_while_a_lease_runs_or_behind_a_number() {
-        let mut kept = Kept::default();
+        let mut kept = LeasedRegister::default();
         assert!(promised(&kept.prepare(0, ballot(1, 1))));
-        assert!(kept.accept(0, LEASE, ballot(1, 1), 1, post(1)).changed);
+        assert!(kept.accept(0, LEASE, ballot(1, 1), 1, value(1)).changed);
         assert!(!promised(&kept.prepare(11, ballot(2, 2))), "its lease runs");
-        assert!(!kept.accept(5, LEASE, ballot(1, 1), 2, post(1)).changed, "a renewal needs no disk");
+        assert!(!kept.accept(5, LEASE, ballot(1, 1), 2, value(1)).changed, "a renewal needs no disk");
         assert!(!promised(&kept.prepare(16, ballot(2, 2))));
         assert!(promised(&kept.prepare(17, ballot(2, 2))));
         assert!(promised(&kept.prepare(17, ballot(2, 2))), "asked again");
         assert!(!promised(&kept.prepare(17, ballot(2, 3))), "the same number by another");
-        let late = kept.accept(18, LEASE, ballot(1, 1), 3, post(1));
-        assert!(matches!(late.answer, Answer::Refused { .. }));
+        let late = kept.accept(18, LEASE, ballot(1, 1), 3, value(1));
+        assert!(matches!(late.response, Response::Refused { .. }));
         // After a start the lease is counted anew.
-        let mut again = Kept::started(kept.register.clone(), 100, LEASE);
+        let mut again = LeasedRegister::restored(kept.register.clone(), 100, LEASE);
         assert!(!promised(&again.prepare(111, ballot(3, 2))) && promised(&again.prepare(112, ballot(3, 2))));
     }
 
     #[test]
     fn a_word_that_comes_late_or_twice_changes_nothing_and_one_that_is_too_long_is_refused() {
-        let mut kept = Kept::default();
-        kept.accept(0, LEASE, ballot(4, 1), 2, post(1));
+        let mut kept = LeasedRegister::default();
+        kept.accept(0, LEASE, ballot(4, 1), 2, value(1));
         let before = kept.register.clone();
-        assert!(matches!(kept.accept(1, LEASE, ballot(4, 1), 1, post(1)).answer, Answer::Refused { .. }));
-        assert!(matches!(kept.accept(1, LEASE, ballot(4, 1), 2, post(1)).answer, Answer::Accepted { .. }));
-        let long = Post { progress: vec![0; PROGRESS_MOST + 1], ..post(1) };
-        assert!(matches!(kept.accept(1, LEASE, ballot(4, 1), 3, long).answer, Answer::Refused { .. }));
+        assert!(matches!(
+            kept.accept(1, LEASE, ballot(4, 1), 1, value(1)).response,
+            Response::Refused { .. }
+        ));
+        assert!(matches!(
+            kept.accept(1, LEASE, ballot(4, 1), 2, value(1)).response,
+            Response::Accepted { .. }
+        ));
+        let long = RegisterValue { progress: vec![0; MAX_PROGRESS_BYTES + 1], ..value(1) };
+        assert!(matches!(kept.accept(1, LEASE, ballot(4, 1), 3, long).response, Response::Refused { .. }));
         assert_eq!(kept.register, before);
-        let mut other = Kept::default();
-        other.learn(&before);
+        let mut other = LeasedRegister::default();
+        other.merge(&before);
         assert_eq!(other.register, before);
-        other.learn(&Register::default());
+        other.merge(&Register::default());
         assert_eq!(other.register, before);
     }
 }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -148,7 +148,7 @@
 /// # Errors
 ///
 /// They are too long.
-pub fn encode_duty(letter: &duties::Letter) -> Result<Vec<u8>, CodecError> {
+pub fn encode_duty(letter: &duties::Envelope) -> Result<Vec<u8>, CodecError> {
     encode_behind(&DUTY_MARK, letter, PACKET_MOST)
 }
 
@@ -162,7 +162,7 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_duty(bytes: &[u8]) -> Result<duties::Letter, CodecError> {
+pub fn decode_duty(bytes: &[u8]) -> Result<duties::Envelope, CodecError> {
     decode_behind(&DUTY_MARK, bytes, PACKET_MOST)
 }
 
@@ -284,22 +284,23 @@
         assert_eq!(told.iter().map(|t| t.waits.len()).sum::<usize>(), 30);
         assert_eq!(decode_told(&encode_told(&told[0]).expect("fits")), Ok(told[0].clone()));
         assert_eq!(Told::parts(&[], &[]).len(), 1);
-        let life = duties::Life { member: most, life: most };
-        let ballot = duties::Ballot { number: most, by: life };
-        let post = duties::Post {
+        let life = duties::ProcessId { member: most, instance: most };
+        let ballot = duties::Ballot { number: most, proposer: life };
+        let value = duties::RegisterValue {
             holder: Some(life),
             token: most,
             reason: duties::Reason::Pinned,
             pinned: Some(most),
             step: most,
-            progress: vec![255; duties::PROGRESS_MOST],
+            progress: vec![255; duties::MAX_PROGRESS_BYTES],
         };
-        let accepted = Some(duties::Accepted { ballot, seq: most, post });
+        let accepted = Some(duties::Accepted { ballot, seq: most, value });
         let register = Some(duties::Register { promised: ballot, accepted });
-        let of = duties::Standing { votes: true, fresh: true };
+        let flags = duties::VoterFlags { voting: true, fresh: true };
         let remembers = (Some((most, most)), most);
-        let body = duties::Body::Recalled { nonce: most, of, remembers, register, part: (254, 255) };
-        let letter = duties::Letter { from: life, duty: most, body };
+        let body =
+            duties::Payload::RecoveryResponse { nonce: most, flags, remembers, register, part: (254, 255) };
+        let letter = duties::Envelope { from: life, duty: most, payload: body };
         let bytes = encode_duty(&letter).expect("fits");
         assert!(is_duty(&bytes) && !is_letter(&bytes));
         assert_eq!(decode_duty(&bytes), Ok(letter));
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
-use yarrowhill_duties::{DUTIES_MOST, Duty};
+use yarrowhill_duties::{Duty, MAX_DUTIES};
 use yarrowhill_membership::{MEMBERS_MOST, MemberId, Roster, Seat, Timing};
 use yarrowhill_rights::{CALL, Limit, further_attempts};
 
@@ -232,8 +232,8 @@
         let zone = node.get("zone").and_then(KdlValue::as_string).map(str::to_owned);
         if duties.iter().any(|duty| duty.name == name) {
             self.fault(at, format!("a second duty {name:?}"), "each once");
-        } else if duties.len() >= DUTIES_MOST {
-            self.fault(at, "too many duties", format!("{DUTIES_MOST} are the most"));
+        } else if duties.len() >= MAX_DUTIES {
+            self.fault(at, "too many duties", format!("{MAX_DUTIES} are the most"));
         } else {
             duties.push(Duty { name: name.to_owned(), zone });
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -32,6 +32,6 @@
     DutiesStatus, KnowledgeStatus, LimitsStatus, MemberStatus, NamedDuty, NamedKnown, NamedLimit,
     NamedOutage, Status,
 };
-pub use yarrowhill_duties::{Held, StepError, Vote, Wish, WishError};
+pub use yarrowhill_duties::{HeldDuty, OperatorRequest, OperatorRequestError, StepError, VoteStatus};
 pub use yarrowhill_knowledge::{Ended, Ramp};
 pub use yarrowhill_rights::{LimitStatus, Refusals};
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -22,7 +22,8 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio::time::{sleep, timeout};
 use yarrowhill_duties::{
-    self as duties, Candidate, Duties, Electorate, Held, Reason, StepError, Wish, WishError,
+    self as duties, Candidate, Duties, HeldDuty, OperatorRequest, OperatorRequestError, Reason, StepError,
+    VoterSet,
 };
 use yarrowhill_knowledge::{Ended, Judgement, Knowledge, Leave, Newcomer, Outages, Ramp, WaitWord};
 use yarrowhill_membership::{
@@ -205,7 +206,7 @@
 
     /// A duty that this process holds at this moment, by the clock as it is read here: to be asked again at the last step
     /// before an act. One under whose name another lives holds nothing.
-    pub fn held(&self, name: &str) -> Option<Held> {
+    pub fn held(&self, name: &str) -> Option<HeldDuty> {
         let now = clock::now();
         if matches!(self.core().standing(now), Standing::Doubled | Standing::Leaving) {
             return None;
@@ -214,8 +215,8 @@
     }
 
     /// Whether an act under a held duty may begin now, if it takes so long.
-    pub fn may(&self, held: &Held, takes: Duration) -> bool {
-        held.may(clock::now(), Micros::try_from(takes.as_micros()).unwrap_or(Micros::MAX))
+    pub fn may(&self, held: &HeldDuty, takes: Duration) -> bool {
+        held.may_act(clock::now(), Micros::try_from(takes.as_micros()).unwrap_or(Micros::MAX))
     }
 
     /// What has been done so far under a held duty.
@@ -223,8 +224,8 @@
     /// # Errors
     ///
     /// It is not held under that token any more, the step before is not decided, or it is too long.
-    pub fn step(&self, held: &Held, progress: Vec<u8>) -> Result<u64, StepError> {
-        let step = self.duties().step(clock::now(), held, progress);
+    pub fn step(&self, held: &HeldDuty, progress: Vec<u8>) -> Result<u64, StepError> {
+        let step = self.duties().record_step(clock::now(), held, progress);
         self.0.stir.notify_one();
         step
     }
@@ -234,8 +235,8 @@
     /// # Errors
     ///
     /// No such duty, nobody holds it, or the member is not there.
-    pub fn wish(&self, duty: &str, wish: Wish) -> Result<(), WishError> {
-        let told = self.duties().wish(clock::now(), duty, wish);
+    pub fn wish(&self, duty: &str, wish: OperatorRequest) -> Result<(), OperatorRequestError> {
+        let told = self.duties().operator_request(clock::now(), duty, wish);
         self.0.stir.notify_one();
         told
     }
@@ -293,7 +294,7 @@
     /// The process is to end: the others hear it from itself.
     pub fn leave(&self) {
         self.core().leave(clock::now());
-        self.duties().give_all(clock::now(), Reason::Leaving);
+        self.duties().release_all(clock::now(), Reason::Leaving);
         self.0.stir.notify_one();
     }
 
@@ -312,18 +313,18 @@
                 .map_or("?".to_owned(), |(_, duty)| duty.name.clone())
         };
         let (duty, told) = match *event {
-            duties::Event::Took { duty, token, step } => {
+            duties::Event::Acquired { duty, token, step } => {
                 (duty, format!("taken under token {token} after {step} steps"))
             }
-            duties::Event::Lost { duty, token } => {
+            duties::Event::Expired { duty, token } => {
                 (duty, format!("lost under token {token}: its lease ended"))
             }
-            duties::Event::Gave { duty, token, reason } => {
+            duties::Event::Released { duty, token, reason } => {
                 (duty, format!("given up under token {token}: {reason:?}"))
             }
-            duties::Event::Step { .. } => return,
-            duties::Event::Votes => return tracing::info!("duties: this voter's word counts"),
-            duties::Event::Doubts => {
+            duties::Event::StepDecided { .. } => return,
+            duties::Event::VotingStarted => return tracing::info!("duties: this voter's word counts"),
+            duties::Event::VotingSuspended => {
                 return tracing::warn!(
                     "duties: this voter may have forgotten what it promised, and learns first"
                 );
@@ -389,7 +390,7 @@
         let mut sharing = Sharing::new(now, MemberId::of(name).0, life.0, members, spans);
         sharing.set(now, members, &limits);
         let (registers, found) = RegisterFile::open(state);
-        let me = duties::Life { member: MemberId::of(name).0, life: life.0 };
+        let me = duties::ProcessId { member: MemberId::of(name).0, instance: life.0 };
         let lease = duties::Lease::new(timing.lease, DRIFT);
         let duties = Duties::new(now, me, boot, lease, found, duties, electorate(&roster));
         let core = Membership::new(now, roster, name, boot, life, timing, seed)?;
@@ -546,13 +547,13 @@
     }
 
     /// A letter about duties has come. What it wants is done when the loop turns.
-    fn duty(&self, from: MemberId, letter: duties::Letter) {
+    fn duty(&self, from: MemberId, letter: duties::Envelope) {
         let now = clock::now();
-        if matches!(letter.body, duties::Body::Recall { .. }) {
+        if matches!(letter.payload, duties::Payload::RecoveryRequest { .. }) {
             // What is remembered of whoever starts.
             let known = self.handle.core().member(from).map(|e| e.record);
             if let Some(record) = known {
-                self.handle.duties().saw(from.0, record.inc.boot, record.life.0);
+                self.handle.duties().record_instance(from.0, record.inc.boot, record.life.0);
             }
         }
         self.handle.duties().handle(now, from.0, letter);
@@ -570,31 +571,35 @@
             self.handle.duties().tick(now);
         }
         loop {
-            let outputs = self.handle.duties().outputs();
+            let outputs = self.handle.duties().take_outputs();
             if outputs.is_empty() {
                 return;
             }
             let mut own = Vec::new();
             for output in outputs {
                 match output {
-                    duties::Output::Write(stored) => {
+                    duties::Output::Persist(stored) => {
                         if let Err(e) = self.registers.write(&stored) {
                             tracing::error!("duties: not on disk, and so not promised: {e}");
                             break;
                         }
-                        self.handle.duties().written();
+                        self.handle.duties().persisted();
                     }
-                    duties::Output::Forget => {
+                    duties::Output::Erase => {
                         if let Err(e) = self.registers.forget() {
                             tracing::error!(
                                 "duties: {e}; a further start would believe what this one doubts"
                             );
                         }
                     }
-                    duties::Output::Send { to, letter } if MemberId(to) == self.handle.core().me() => {
+                    duties::Output::Send { to, envelope: letter }
+                        if MemberId(to) == self.handle.core().me() =>
+                    {
                         own.push(letter)
                     }
-                    duties::Output::Send { to, letter } => self.send_duty(MemberId(to), &letter).await,
+                    duties::Output::Send { to, envelope: letter } => {
+                        self.send_duty(MemberId(to), &letter).await
+                    }
                     duties::Output::Event(event) => self.handle.duty_event(&event),
                 }
             }
@@ -621,13 +626,13 @@
         let candidate = |id: &MemberId| Candidate {
             member: id.0,
             zone: zones.get(id).cloned().unwrap_or_default(),
-            poor: core.member(*id).is_some_and(|e| e.record.health == Health::Suspect),
+            degraded: core.member(*id).is_some_and(|e| e.record.health == Health::Suspect),
         };
         let there = view.members.keys().map(candidate).collect();
-        self.handle.duties().set_there(now, there, may);
+        self.handle.duties().set_candidates(now, there, may);
     }
 
-    async fn send_duty(&self, to: MemberId, letter: &duties::Letter) {
+    async fn send_duty(&self, to: MemberId, letter: &duties::Envelope) {
         self.put(to, encode_duty(letter)).await;
     }
 
@@ -748,7 +753,7 @@
 
     fn persist(&mut self, boot: u64) {
         // Others know of a later life than its folder: what that promised as a voter stands nowhere here.
-        self.handle.duties().doubt(clock::now());
+        self.handle.duties().suspend_voting(clock::now());
         if let Err(e) = self.registers.forget() {
             tracing::error!("duties: {e}; a further start would believe what this one doubts");
         }
@@ -831,10 +836,10 @@
 }
 
 /// Whose answers count of duties: the voters of the roster.
-fn electorate(roster: &Roster) -> Electorate {
+fn electorate(roster: &Roster) -> VoterSet {
     let ids = |ids: Vec<MemberId>| ids.into_iter().map(|id| id.0).collect();
     let (now, before) = roster.electorate();
-    Electorate { now: ids(now), before: before.map(ids) }
+    VoterSet { current: ids(now), previous: before.map(ids) }
 }
 
 /// One line for each stable change.
--- a/crates/fleet/src/registers.rs
+++ b/crates/fleet/src/registers.rs
@@ -3,7 +3,7 @@
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
-use yarrowhill_duties::Stored;
+use yarrowhill_duties::StoredVoter;
 
 /// The file's name in the state folder.
 const NAME: &str = "duties";
@@ -19,7 +19,7 @@
 impl RegisterFile {
     /// Reads what stands there. None where there is nothing, or nothing that can be believed: that is kept aside, and the voter learns
     /// from the others.
-    pub(crate) fn open(folder: &Path) -> (Self, Option<Stored>) {
+    pub(crate) fn open(folder: &Path) -> (Self, Option<StoredVoter>) {
         let file = RegisterFile(folder.join(NAME));
         let found = match file.read() {
             Ok(found) => found,
@@ -36,7 +36,7 @@
         (file, found)
     }
 
-    fn read(&self) -> Result<Option<Stored>, String> {
+    fn read(&self) -> Result<Option<StoredVoter>, String> {
         match fs::metadata(&self.0) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             Ok(data) if data.len() > LONGEST => return Err(format!("{} bytes are too many", data.len())),
@@ -60,7 +60,7 @@
     }
 
     /// Writes them beside the file, to disk, and then over it, so that a crash leaves the ones or the others.
-    pub(crate) fn write(&self, stored: &Stored) -> io::Result<()> {
+    pub(crate) fn write(&self, stored: &StoredVoter) -> io::Result<()> {
         let body = postcard::to_allocvec(stored).map_err(io::Error::other)?;
         let sum = crc32fast::hash(&body).to_be_bytes();
         let beside = self.0.with_extension("duties-new");
@@ -85,7 +85,7 @@
         fs::create_dir_all(&folder).expect("a folder");
         let (file, found) = RegisterFile::open(&folder);
         assert!(found.is_none());
-        let stored = Stored { writes: 7, registers: BTreeMap::from([(7, Register::default())]) };
+        let stored = StoredVoter { write_count: 7, registers: BTreeMap::from([(7, Register::default())]) };
         file.write(&stored).expect("written");
         assert_eq!(RegisterFile::open(&folder).1, Some(stored.clone()));
         file.forget().expect("taken out");
@@ -99,7 +99,7 @@
         fs::write(&path, bytes).expect("written");
         assert_eq!(RegisterFile::open(&folder).1, None);
         assert!(path.with_extension("damaged").exists());
-        assert!(RegisterFile(PathBuf::from("/nowhere/duties")).write(&Stored::default()).is_err());
+        assert!(RegisterFile(PathBuf::from("/nowhere/duties")).write(&StoredVoter::default()).is_err());
         let _ = fs::remove_dir_all(folder);
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,7 +1,7 @@
 //! What a forwarder tells of its fleet.
 
 use serde::{Deserialize, Serialize};
-use yarrowhill_duties::{Duties, DutyStatus, Vote};
+use yarrowhill_duties::{Duties, DutyStatus, VoteStatus};
 use yarrowhill_knowledge::{Knowledge, Known, Outage, Outages};
 use yarrowhill_membership::{Health, MemberId, Membership, Micros, Permits, Refused, Roster, Standing};
 use yarrowhill_rights::{LimitStatus, Refusals, Sharing};
@@ -190,7 +190,7 @@
     /// When (microseconds of `CLOCK_BOOTTIME`).
     pub at: Micros,
     /// How its own vote stands.
-    pub vote: Vote,
+    pub vote: VoteStatus,
     /// Each duty.
     pub duties: Vec<NamedDuty>,
 }
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
 use yarrowhill_engine::{CallWent, Gate, Input};
-use yarrowhill_fleet::{Document, Ended, Handle, Node, Options, Ramp, Wish, read, serve};
+use yarrowhill_fleet::{Document, Ended, Handle, Node, OperatorRequest, Options, Ramp, read, serve};
 use yarrowhill_policy::api::DestId;
 
 /// The control socket's name in the state folder.
@@ -82,10 +82,10 @@
                     "limits" => serde_json::to_value(told.limits()).map_err(|e| e.to_string()),
                     "knowledge" => serde_json::to_value(told.destinations()).map_err(|e| e.to_string()),
                     "duties" => serde_json::to_value(told.duties_status()).map_err(|e| e.to_string()),
-                    "duty-yield" => wish(&told, &with, Wish::Yield),
+                    "duty-yield" => wish(&told, &with, OperatorRequest::Yield),
                     "duty-pin" => match with["member"].as_str().map(|name| member(&told, name)) {
-                        None => wish(&told, &with, Wish::Pin(None)),
-                        Some(Some(id)) => wish(&told, &with, Wish::Pin(Some(id))),
+                        None => wish(&told, &with, OperatorRequest::Pin(None)),
+                        Some(Some(id)) => wish(&told, &with, OperatorRequest::Pin(Some(id))),
                         Some(None) => Err(format!("{} is not a member", with["member"])),
                     },
                     other => {
@@ -147,7 +147,7 @@
 }
 
 /// Passes on what an operator wants of a duty.
-fn wish(handle: &Handle, with: &Value, wish: Wish) -> Result<Value, String> {
+fn wish(handle: &Handle, with: &Value, wish: OperatorRequest) -> Result<Value, String> {
     let duty = with["duty"].as_str().ok_or("name the duty")?;
     handle.wish(duty, wish).map(|()| Value::from("asked")).map_err(|e| e.to_string())
 }
--- a/crates/yarrowhill/src/operate.rs
+++ b/crates/yarrowhill/src/operate.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use yarrowhill_fleet::{
     DutiesStatus, KnowledgeStatus, LimitStatus, LimitsStatus, MemberStatus, NamedDuty, NamedKnown,
-    NamedLimit, NamedOutage, Refusals, Status, Vote, ask,
+    NamedLimit, NamedOutage, Refusals, Status, VoteStatus, ask,
 };
 
 /// Between two looks of `--watch`.
@@ -74,11 +74,11 @@
         text.push_str("the fleet's document names no duty\n");
     }
     let vote = match status.vote {
-        Vote::Votes => "its word counts",
-        Vote::Checks => "asks the others whether its folder is the last one",
-        Vote::Silent => "may have forgotten what it promised, and is silent for a while",
-        Vote::Learns => "may have forgotten what it promised, and learns from the others",
-        Vote::None => "no voter",
+        VoteStatus::Voting => "its word counts",
+        VoteStatus::Checking => "asks the others whether its folder is the last one",
+        VoteStatus::Silent => "may have forgotten what it promised, and is silent for a while",
+        VoteStatus::Recovering => "may have forgotten what it promised, and learns from the others",
+        VoteStatus::NonVoter => "no voter",
     };
     let _ = writeln!(text, "as a voter: {vote}");
     text
