--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -11,7 +11,7 @@
 pub(crate) fn compare(turns: u64) -> Result<(), Box<dyn Error>> {
     let folder = std::env::temp_dir().join(format!("yarrowhill-bench-journal-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
-    let options = Options { limit: 1 << 32, durability: Durability::Process };
+    let options = Options { max_bytes: 1 << 32, durability: Durability::Process };
     let (mut journal, _) = Journal::open(&folder, options, NOW)?;
     let mut sizes = Vec::with_capacity(turns as usize);
     let start = Instant::now();
@@ -31,7 +31,7 @@
         let sent = Record::Sent(id.clone(), 0, NOW, "hall-a".into());
         journal.commit(&[Record::Accepted(accepted), sent], NOW)?;
         sizes.push(journal.size().saturating_sub(before));
-        journal.note(&Record::Closed(id, End::Delivered, 0), NOW);
+        journal.enqueue(&Record::Closed(id, End::Delivered, 0), NOW);
     }
     let appends = start.elapsed().as_secs_f64();
     drop(journal);
--- a/crates/bench/src/recover.rs
+++ b/crates/bench/src/recover.rs
@@ -12,7 +12,7 @@
 const LIMIT: u64 = 1 << 32;
 
 fn options() -> Options {
-    Options { limit: LIMIT, durability: Durability::Process }
+    Options { max_bytes: LIMIT, durability: Durability::Process }
 }
 
 fn unix_now() -> Result<u64, Box<dyn Error>> {
@@ -28,7 +28,7 @@
     let (mut journal, _) = Journal::open(&folder, options(), now)?;
     for first in (0..ends).step_by(TURN as usize) {
         for n in first..ends.min(first + TURN) {
-            journal.note(&Record::Closed(format!("e{n:015x}"), End::Delivered, deadline), now);
+            journal.enqueue(&Record::Closed(format!("e{n:015x}"), End::Delivered, deadline), now);
         }
         journal.commit(&[], now)?;
     }
--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
-use yarrowhill_routes::{Message, Prefixes, Router, read};
+use yarrowhill_routes::{Message, PrefixSet, Router, parse};
 
 /// Each is measured for about so long.
 const SPAN: Duration = Duration::from_millis(300);
@@ -44,7 +44,7 @@
     for rules in [10usize, 1_000, 10_000] {
         let text = document(rules);
         let start = Instant::now();
-        let routes = read(&[("bench.kdl".into(), text)]).map_err(|faults| faults[0].to_string())?;
+        let routes = parse(&[("bench.kdl".into(), text)]).map_err(|faults| faults[0].to_string())?;
         let took = start.elapsed().as_secs_f64() * 1e3;
         let router = Router::new(routes);
         let partners = rules.div_ceil(5) as u32;
@@ -59,7 +59,7 @@
             black_box(router.route(&message(n)));
         });
         let list = nanos(|n| {
-            black_box(router.scan(&message(n)));
+            black_box(router.route_by_scan(&message(n)));
         });
         println!("{rules:7} rules: {index:9.0} {list:9.0} {:7.1}x {took:9.1} ms", list / index);
     }
@@ -70,7 +70,7 @@
                 ipnet::IpNet::new(Ipv4Addr::from(n.wrapping_mul(2_654_435_761)).into(), 24).map(|n| n.trunc())
             })
             .collect::<Result<_, _>>()?;
-        let set: Prefixes = nets.iter().copied().collect();
+        let set: PrefixSet = nets.iter().copied().collect();
         let address = |n: u32| IpAddr::V4(Ipv4Addr::from(n.wrapping_mul(0x9e37_79b9)));
         let trie = nanos(|n| {
             black_box(set.contains(address(n)));
--- a/crates/bench/src/scale.rs
+++ b/crates/bench/src/scale.rs
@@ -183,10 +183,10 @@
     let folder = std::env::temp_dir().join(format!("yarrowhill-bench-scale-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
     let now = unix_now();
-    let options = yarrowhill_journal::Options { limit: LIMIT, durability: Durability::Process };
+    let options = yarrowhill_journal::Options { max_bytes: LIMIT, durability: Durability::Process };
     let (mut journal, _) = Journal::open(&folder, options, now)?;
     for n in 0..ends {
-        journal.note(&Record::Closed(format!("e{n:x}"), End::Delivered, now + 7_200_000), now);
+        journal.enqueue(&Record::Closed(format!("e{n:x}"), End::Delivered, now + 7_200_000), now);
         if n % 1000 == 999 {
             journal.commit(&[], now)?;
         }
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -136,12 +136,12 @@
             } else {
                 let Accepted { id, deadline, .. } = message.accepted;
                 let end = if outcome == Outcome::Delivered { End::Delivered } else { End::Failed };
-                self.journal.note(&Record::Closed(id, end, deadline), unix);
+                self.journal.enqueue(&Record::Closed(id, end, deadline), unix);
             }
         } else if let Some(message) = self.messages.get_mut(&id) {
             message.tried |= outcome != Outcome::NotSent;
             let record = Record::Ended(message.accepted.id.clone(), attempt, !outcome.never_ran());
-            self.journal.note(&record, unix);
+            self.journal.enqueue(&record, unix);
         }
         let finished = !self.messages.contains_key(&id);
         let ended = Ended { id, attempt, outcome, elapsed: now - out.sent, finished, report, wait };
--- a/crates/engine/src/engine/commit.rs
+++ b/crates/engine/src/engine/commit.rs
@@ -30,7 +30,7 @@
                 records.push(Record::Sent(message.accepted.id.clone(), send.attempt, unix, zone));
             }
         }
-        pass(Point::BeforeCommit);
+        crash_point(Point::BeforeCommit);
         if let Err(e) = self.journal.commit(&records, unix) {
             // It may fail in every turn for a while.
             if self.told_failure.is_none_or(|at| at.elapsed() > TELL_EVERY) {
@@ -40,7 +40,7 @@
             taken.into_iter().for_each(|id| self.turn_away(id));
             return sends.iter().for_each(|s| self.not_sent(s));
         }
-        pass(Point::AfterCommit);
+        crash_point(Point::AfterCommit);
         for id in taken {
             if let Some(message) = self.messages.get_mut(&id) {
                 message.taken_on = true;
@@ -49,11 +49,11 @@
                 }
             }
         }
-        pass(Point::AfterAnswers);
+        crash_point(Point::AfterAnswers);
         let calls = sends.len();
         self.start_calls(now, sends);
         if calls > 0 {
-            pass(Point::AfterCalls);
+            crash_point(Point::AfterCalls);
         }
     }
 
@@ -70,7 +70,7 @@
     pub(super) fn client_left(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
-            self.journal.note(&Record::Closed(message.accepted.id, End::Refused, 0), unix_now());
+            self.journal.enqueue(&Record::Closed(message.accepted.id, End::Refused, 0), unix_now());
             self.events.push(Event::ClientLeft { id });
         }
     }
--- a/crates/engine/src/engine/intake.rs
+++ b/crates/engine/src/engine/intake.rs
@@ -83,8 +83,8 @@
 
     /// Takes up a message of an earlier process.
     pub(super) fn resume(&mut self, now: Micros, open: OpenMessage) {
-        let OpenMessage { accepted, attempts, owed, in_doubt } = open;
-        if let Some(end) = owed {
+        let OpenMessage { accepted, attempts, pending_notice, in_doubt } = open;
+        if let Some(end) = pending_notice {
             return self.owed.push(Notice { message: accepted.id, end });
         }
         let unix = unix_now();
@@ -92,9 +92,9 @@
         // What the journal has lost of it may have been an attempt at any time.
         let unknown = in_doubt.then_some((now.saturating_sub(LONG_AGO), usize::MAX));
         let risk = unknown.or_else(|| {
-            let first = attempts.iter().filter(|a| a.may_have_run).min_by_key(|a| a.sent)?;
+            let first = attempts.iter().filter(|a| a.may_have_run).min_by_key(|a| a.sent_ms)?;
             let zone = index(&self.names.zones, &first.zone).unwrap_or(usize::MAX);
-            Some((now.saturating_add(ago(first.sent).max(-LONG_AGO)), zone))
+            Some((now.saturating_add(ago(first.sent_ms).max(-LONG_AGO)), zone))
         });
         let past = Past { attempts: attempts.len().max(usize::from(in_doubt)), risk, taken_on: true };
         let class = index(&self.names.classes, &accepted.class);
@@ -142,7 +142,7 @@
     /// A notice is owed, on record until it is acknowledged.
     pub(super) fn owe(&mut self, message: Accepted, end: NoticeEnd) {
         let Accepted { id, deadline, .. } = message;
-        self.journal.note(&Record::Owed(id.clone(), end, deadline), unix_now());
+        self.journal.enqueue(&Record::NoticePending(id.clone(), end, deadline), unix_now());
         self.owed.push(Notice { message: id, end });
     }
 }
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc::{Sender, channel};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use yarrowhill_faults::{Point, pass};
+use yarrowhill_faults::{Point, crash_point};
 use yarrowhill_journal::{
     Accepted, Durability, End, Journal, JournalError, NoticeEnd, OpenMessage, Options as JournalOptions,
     Record,
@@ -186,7 +186,7 @@
         notices: Sender<Vec<Notice>>,
         inputs: Sender<Input>,
     ) -> Result<Self, JournalError> {
-        let journal = JournalOptions { limit: options.journal_limit, durability: options.durability };
+        let journal = JournalOptions { max_bytes: options.journal_limit, durability: options.durability };
         let (journal, recovered) = Journal::open(&options.state, journal, unix_now())?;
         let quotas: Vec<f64> = options.settings.tenants.iter().map(|t| t.quota).collect();
         let room = match &options.shard {
@@ -261,7 +261,7 @@
 
     /// Whether all that was noted stands in the journal.
     pub fn is_settled(&self) -> bool {
-        self.journal.is_settled()
+        self.journal.is_flushed()
     }
 
     /// Takes one turn; without `sending` no call starts in it.
--- a/crates/engine/src/engine/notices.rs
+++ b/crates/engine/src/engine/notices.rs
@@ -6,7 +6,7 @@
     /// One batch at a time, and only what stands in the journal: a client that was told to come again must
     /// never meet the same message sent by the next process.
     pub(super) fn pass_on_notices(&mut self) {
-        if self.owed.is_empty() || !self.journal.is_settled() {
+        if self.owed.is_empty() || !self.journal.is_flushed() {
             return;
         }
         if let Ok(room) = self.notices.try_reserve() {
@@ -18,7 +18,7 @@
         let unix = unix_now();
         for Notice { message, end } in batch {
             let until = self.journal.end_of(&message).map_or(0, |(_, until)| until);
-            self.journal.note(&Record::Closed(message, end.into(), until), unix);
+            self.journal.enqueue(&Record::Closed(message, end.into(), until), unix);
         }
     }
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,13 +1,13 @@
 //! Points of the program at which the fault rig ends the process.
 //!
-//! Without the feature `on`, [`pass`] is a constant that costs nothing. With it, `YARROWHILL_DIE` names a [`Point`]
+//! Without the feature `on`, [`crash_point`] is a constant that costs nothing. With it, `YARROWHILL_DIE` names a [`Point`]
 //! and a number: at that passing of that point the process ends as by SIGKILL, with nothing run on the way out.
 //!
 //! ```
-//! use yarrowhill_faults::{Point, pass};
-//! assert_eq!(Point::named("after-commit"), Some(Point::AfterCommit));
+//! use yarrowhill_faults::{Point, crash_point};
+//! assert_eq!(Point::from_name("after-commit"), Some(Point::AfterCommit));
 //! // No environment names it here.
-//! pass(Point::AfterCommit);
+//! crash_point(Point::AfterCommit);
 //! ```
 
 /// A point at which the process may end.
@@ -47,14 +47,14 @@
     }
 
     /// The one of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Point::ALL.into_iter().find(|point| point.name() == name)
     }
 }
 
 /// Ends the process here, if the environment says so.
 #[cfg(feature = "on")]
-pub fn pass(point: Point) {
+pub fn crash_point(point: Point) {
     use std::sync::OnceLock;
     use std::sync::atomic::{AtomicU32, Ordering};
     static DEATH: OnceLock<Option<(Point, u32)>> = OnceLock::new();
@@ -62,7 +62,7 @@
     let death = DEATH.get_or_init(|| {
         let text = std::env::var("YARROWHILL_DIE").ok()?;
         let (point, nth) = text.split_once(':')?;
-        Some((Point::named(point)?, nth.parse().ok()?))
+        Some((Point::from_name(point)?, nth.parse().ok()?))
     });
     if let Some((at, nth)) = death
         && *at == point
@@ -75,4 +75,4 @@
 /// Does nothing.
 #[cfg(not(feature = "on"))]
 #[inline(always)]
-pub const fn pass(_: Point) {}
+pub const fn crash_point(_: Point) {}
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -70,7 +70,7 @@
     /// The program did, or did not come to an end.
     pub async fn take(&self, input: &[u8]) {
         match self {
-            Target::Journal => drop(yarrowhill_journal::survey(input)),
+            Target::Journal => drop(yarrowhill_journal::scan_bytes(input)),
             Target::Config => drop(Config::parse(input, PathBuf::new(), Path::new("fuzz"))),
             Target::Heads { to, serving, .. } => {
                 ask(*to, input).await;
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -367,7 +367,11 @@
                 "hall-a".into()
             )),
             (id, 0..3usize, any::<bool>()).prop_map(|(id, n, ran)| Record::Ended(id, n, ran)),
-            id.prop_map(|id| Record::Owed(id, NoticeEnd::HandedBack { retry_in_ms: Some(5) }, NOW + 1000)),
+            id.prop_map(|id| Record::NoticePending(
+                id,
+                NoticeEnd::HandedBack { retry_in_ms: Some(5) },
+                NOW + 1000
+            )),
             id.prop_map(|id| Record::Closed(id, End::Delivered, NOW + 1000)),
         ]
     }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! let folder = std::env::temp_dir().join(format!("journal-doc-{}", std::process::id()));
 //! std::fs::create_dir_all(&folder)?;
-//! let options = Options { limit: 1 << 20, durability: Durability::Process };
+//! let options = Options { max_bytes: 1 << 20, durability: Durability::Process };
 //! let (mut journal, recovered) = Journal::open(&folder, options, 1_800_000_000_000)?;
 //! assert!(recovered.open.is_empty());
 //! let message = Accepted {
@@ -45,16 +45,16 @@
 
 pub use record::{Accepted, End, Ends, NoticeEnd, Record};
 pub use replay::{Attempt, OpenMessage};
-pub use segments::{has_layouts, segments};
+pub use segments::{has_sharded_layout, prepare_segments};
 pub use store::{Damage, Durability, Journal, JournalError, Options, Recovered};
 
 /// Reads any bytes as a journal's text, as [`Journal::open`] does, and gives the number of records in it and of
 /// bytes that can't be read. For fuzzing.
 ///
 /// ```
-/// assert_eq!(yarrowhill_journal::survey(b"no journal"), (0, 10));
+/// assert_eq!(yarrowhill_journal::scan_bytes(b"no journal"), (0, 10));
 /// ```
-pub fn survey(text: &[u8]) -> (usize, usize) {
+pub fn scan_bytes(text: &[u8]) -> (usize, usize) {
     let (mut replay, mut lost) = (replay::Replay::default(), 0);
     // Memory can always be had.
     let Ok((_, mut pieces)) = frame::read(text) else { return (0, 0) };
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -34,7 +34,8 @@
     /// It ended: message, attempt and whether it may have run.
     Ended(String, usize, bool),
     /// The module gave the message up and a notice is owed; until when (Unix ms) that is worth remembering.
-    Owed(String, NoticeEnd, u64),
+    #[serde(rename = "Owed")]
+    NoticePending(String, NoticeEnd, u64),
     /// Nothing more is owed: message, its end, and until when (Unix ms) that is worth remembering.
     #[serde(rename = "Over")]
     Closed(String, End, u64),
@@ -69,7 +70,7 @@
             Record::Accepted(Accepted { id, .. })
             | Record::Sent(id, ..)
             | Record::Ended(id, ..)
-            | Record::Owed(id, ..)
+            | Record::NoticePending(id, ..)
             | Record::Closed(id, ..) => Some(id),
             Record::Gap | Record::Ends(_) => None,
         }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// When it was sent (Unix ms); 0 where the record of that is lost.
-    pub sent: u64,
+    pub sent_ms: u64,
     /// The zone of its endpoint.
     pub zone: String,
     /// False only where it is known that it never ran.
@@ -34,7 +34,7 @@
     /// Its attempts so far.
     pub attempts: Vec<Attempt>,
     /// The notice that is owed for it, where the module had given it up.
-    pub owed: Option<NoticeEnd>,
+    pub pending_notice: Option<NoticeEnd>,
     /// Records were lost while it was open: it may have run beside what its attempts tell.
     pub in_doubt: bool,
 }
@@ -71,12 +71,12 @@
     pub(crate) fn apply(&mut self, record: Record) {
         // An end that is owed stays owed, also where the gap that brought it about is past.
         if let Some(id) = record.id()
-            && (self.gap || matches!(record, Record::Owed(..)))
+            && (self.gap || matches!(record, Record::NoticePending(..)))
             && !matches!(record, Record::Accepted(_) | Record::Closed(..))
             && !self.open.contains_key(id)
         {
             let end = self.orphans.entry(id.to_owned()).or_insert(NoticeEnd::GivenUp);
-            if let Record::Owed(_, owed, _) = record {
+            if let Record::NoticePending(_, owed, _) = record {
                 *end = owed;
             }
             return;
@@ -85,7 +85,8 @@
             Record::Accepted(accepted) => {
                 self.orphans.remove(&accepted.id);
                 let id = accepted.id.clone();
-                let open = OpenMessage { accepted, attempts: Vec::new(), owed: None, in_doubt: false };
+                let open =
+                    OpenMessage { accepted, attempts: Vec::new(), pending_notice: None, in_doubt: false };
                 // An id that came again after its end stands where it was taken on last.
                 self.taken += 1;
                 self.open.insert(id, (self.taken, open));
@@ -95,7 +96,7 @@
                 if let Some((_, open)) = self.open.get_mut(&id) {
                     fill(&mut open.attempts, attempt + 1);
                     if let Some(a) = open.attempts.get_mut(attempt) {
-                        *a = Attempt { sent, zone, may_have_run: true };
+                        *a = Attempt { sent_ms: sent, zone, may_have_run: true };
                     }
                 }
             }
@@ -109,9 +110,9 @@
                     }
                 }
             }
-            Record::Owed(id, end, _) => {
+            Record::NoticePending(id, end, _) => {
                 if let Some((_, open)) = self.open.get_mut(&id) {
-                    open.owed = Some(end);
+                    open.pending_notice = Some(end);
                 }
             }
             Record::Closed(id, ..) => {
@@ -141,6 +142,6 @@
 fn fill(attempts: &mut Vec<Attempt>, len: usize) {
     const MOST: usize = 64;
     while attempts.len() < len.min(MOST) {
-        attempts.push(Attempt { sent: 0, zone: String::new(), may_have_run: true });
+        attempts.push(Attempt { sent_ms: 0, zone: String::new(), may_have_run: true });
     }
 }
--- a/crates/journal/src/segments.rs
+++ b/crates/journal/src/segments.rs
@@ -42,7 +42,7 @@
 ///
 /// As for [`crate::Journal::open`]; also [`JournalError::Full`] if what is to be taken over has no room. The old
 /// layout is in force then.
-pub fn segments(
+pub fn prepare_segments(
     state: &Path,
     shards: usize,
     options: Options,
@@ -97,13 +97,13 @@
     Ok(new.segments(state))
 }
 
-/// Whether the journals of several shards stand in a folder, or have stood there: [`segments`] finds its way there,
+/// Whether the journals of several shards stand in a folder, or have stood there: [`prepare_segments`] finds its way there,
 /// [`crate::Journal::open`] alone does not.
 ///
 /// # Errors
 ///
 /// The folder can't be read.
-pub fn has_layouts(state: &Path) -> io::Result<bool> {
+pub fn has_sharded_layout(state: &Path) -> io::Result<bool> {
     Ok(layouts(state)?.iter().any(|layout| layout.folder.is_some()))
 }
 
@@ -143,7 +143,7 @@
     use proptest::prelude::*;
     use std::collections::BTreeMap;
 
-    const OPTIONS: Options = Options { limit: 4 << 20, durability: Durability::Process };
+    const OPTIONS: Options = Options { max_bytes: 4 << 20, durability: Durability::Process };
 
     fn shard(shards: usize) -> impl Fn(u64) -> usize {
         move |dest| dest as usize % shards
@@ -184,20 +184,20 @@
         ) {
             let state = tempfile::tempdir().expect("a folder");
             let state = state.path();
-            let first = segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
+            let first = prepare_segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
             let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
             let records: Vec<Record> = (0..20).map(message).collect();
             journal.commit(&records, NOW).expect("there is room");
             for n in 0..20u64 {
                 let id = format!("m{n}");
                 match n % 5 {
-                    0 => journal.note(&Record::Closed(id, End::Delivered, NOW + 5000), NOW),
-                    1 => journal.note(&Record::Sent(id, 0, NOW - 7, "a".into()), NOW),
+                    0 => journal.enqueue(&Record::Closed(id, End::Delivered, NOW + 5000), NOW),
+                    1 => journal.enqueue(&Record::Sent(id, 0, NOW - 7, "a".into()), NOW),
                     2 => {
-                        journal.note(&Record::Sent(id.clone(), 0, NOW - 7, "a".into()), NOW);
-                        journal.note(&Record::Ended(id, 0, false), NOW);
+                        journal.enqueue(&Record::Sent(id.clone(), 0, NOW - 7, "a".into()), NOW);
+                        journal.enqueue(&Record::Ended(id, 0, false), NOW);
                     }
-                    3 => journal.note(&Record::Owed(id, NoticeEnd::GivenUp, NOW + 5000), NOW),
+                    3 => journal.enqueue(&Record::NoticePending(id, NoticeEnd::GivenUp, NOW + 5000), NOW),
                     _ => {}
                 }
             }
@@ -211,7 +211,7 @@
                     fs::create_dir_all(state.join("layout.new/shard-0")).expect("a folder");
                     fs::write(state.join("layout.new/shard-0/journal"), b"half").expect("it is writable");
                 }
-                let folders = segments(state, shards, OPTIONS, NOW, shard(shards)).expect("there is room");
+                let folders = prepare_segments(state, shards, OPTIONS, NOW, shard(shards)).expect("there is room");
                 prop_assert_eq!(folders.len(), shards);
                 let now = open(&folders);
                 prop_assert_eq!(now.len(), before.len());
@@ -236,18 +236,18 @@
     fn of_two_layouts_the_newer_is_in_force() {
         let state = tempfile::tempdir().expect("a folder");
         let state = state.path();
-        let first = segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
+        let first = prepare_segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
         let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
         journal.commit(&[message(1), message(2)], NOW).expect("there is room");
         drop(journal);
         let old = fs::read(state.join("journal")).expect("it is there");
-        let folders = segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
+        let folders = prepare_segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
         let (mut journal, _) = Journal::open(&folders[1], OPTIONS, NOW).expect("it opens");
-        journal.note(&Record::Closed("m1".into(), End::Delivered, NOW + 5000), NOW);
+        journal.enqueue(&Record::Closed("m1".into(), End::Delivered, NOW + 5000), NOW);
         journal.commit(&[], NOW).expect("there is room");
         drop(journal);
         fs::write(state.join("journal"), old).expect("it is writable");
-        let again = segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
+        let again = prepare_segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
         assert_eq!(again, folders);
         assert_eq!(open(&again).keys().collect::<Vec<_>>(), ["m2"]);
         assert!(!state.join("journal").exists());
@@ -261,7 +261,8 @@
         let state = state.path();
         let mut now = NOW;
         for shards in [4, 2, 3, 1] {
-            let folders = segments(state, shards, OPTIONS, now, shard(shards)).expect("there is room");
+            let folders =
+                prepare_segments(state, shards, OPTIONS, now, shard(shards)).expect("there is room");
             for (number, folder) in folders.iter().enumerate() {
                 let (mut journal, _) = Journal::open(folder, OPTIONS, now).expect("it opens");
                 // Long enough to be written anew, with no end in it: those of the round before are past.
@@ -269,7 +270,7 @@
                     journal.commit(&vec![Record::Gap; 200], now).expect("there is room");
                 }
                 let until = now + 5000;
-                journal.note(&Record::Closed(format!("{shards}-{number}"), End::Failed, until), now);
+                journal.enqueue(&Record::Closed(format!("{shards}-{number}"), End::Failed, until), now);
                 journal.commit(&[], now).expect("there is room");
             }
             now += 10_000;
@@ -280,11 +281,11 @@
     #[test]
     fn segments_that_are_held_are_left_alone() {
         let state = tempfile::tempdir().expect("a folder");
-        let first = segments(state.path(), 1, OPTIONS, NOW, shard(1)).expect("it is new");
+        let first = prepare_segments(state.path(), 1, OPTIONS, NOW, shard(1)).expect("it is new");
         let (held, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
-        let taken = segments(state.path(), 3, OPTIONS, NOW, shard(3));
-        assert!(matches!(taken, Err(JournalError::Held(_))), "{taken:?}");
+        let taken = prepare_segments(state.path(), 3, OPTIONS, NOW, shard(3));
+        assert!(matches!(taken, Err(JournalError::Locked(_))), "{taken:?}");
         drop(held);
-        assert!(segments(state.path(), 3, OPTIONS, NOW, shard(3)).is_ok());
+        assert!(prepare_segments(state.path(), 3, OPTIONS, NOW, shard(3)).is_ok());
     }
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -11,7 +11,7 @@
 use std::io::{self, BufWriter, Write};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
-use yarrowhill_faults::{Point, pass};
+use yarrowhill_faults::{Point, crash_point};
 
 /// Room kept for each open message, so that its attempts and its end still fit when the disk is full.
 const RESERVE: u64 = 1024;
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Bytes that its files may take together.
-    pub limit: u64,
+    pub max_bytes: u64,
     /// What a written record outlasts.
     pub durability: Durability,
 }
@@ -63,7 +63,7 @@
     Full,
     /// Another process holds the folder.
     #[error("the journal in {0} is held by another process")]
-    Held(PathBuf),
+    Locked(PathBuf),
     /// The file can't be read or written.
     #[error("the journal can't be read or written: {0}")]
     Io(#[from] io::Error),
@@ -88,7 +88,7 @@
     /// Where the file could not be read. Its bytes are in `journal.damaged`, as far as there is room.
     pub damage: Vec<Damage>,
     /// Bytes at the end that a dying process had not written whole. Nothing in them had been acted upon.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// A record's place in the file.
@@ -149,14 +149,14 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Held`] if another process has it open, [`JournalError::Io`] if a file can't be had.
+    /// [`JournalError::Locked`] if another process has it open, [`JournalError::Io`] if a file can't be had.
     pub fn open(folder: &Path, options: Options, now: u64) -> Result<(Self, Recovered), JournalError> {
         let path = folder.join("journal");
         let lock =
             OpenOptions::new().write(true).create(true).truncate(false).open(folder.join("journal.lock"))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(JournalError::Held(folder.into())),
+            Err(TryLockError::WouldBlock) => return Err(JournalError::Locked(folder.into())),
             Err(TryLockError::Error(e)) => return Err(e.into()),
         }
         // Left by a process that ended while it compacted; the old file still holds all.
@@ -173,7 +173,7 @@
             file,
             mark: mark.unwrap_or_else(new_mark),
             len,
-            limit: options.limit,
+            limit: options.max_bytes,
             durability: options.durability,
             live: HashMap::new(),
             live_bytes: 0,
@@ -205,10 +205,10 @@
                         "journal: {size} bytes at {at} can't be read; kept in {}",
                         aside.display()
                     );
-                    keep_aside(&aside, &journal.file, *at as u64, *size, options.limit / ASIDE_PART);
+                    keep_aside(&aside, &journal.file, *at as u64, *size, options.max_bytes / ASIDE_PART);
                 }
                 Piece::Torn { at, size } => {
-                    recovered.torn = *size as u64;
+                    recovered.torn_bytes = *size as u64;
                     tracing::warn!("journal: cut off {size} bytes of a torn tail at {at}");
                     journal.len = *at as u64;
                     journal.file.set_len(journal.len)?;
@@ -221,7 +221,7 @@
         journal.limit = journal.limit.saturating_sub(kept_aside);
         // The ends of orphans are owed as firmly as others: they must be on record before the gap is forgotten.
         for (id, end) in &recovered.orphans {
-            journal.note(&Record::Owed(id.clone(), *end, now), now);
+            journal.enqueue(&Record::NoticePending(id.clone(), *end, now), now);
         }
         if journal.len == 0 {
             journal.file.write_all(&frame::file_head(journal.mark))?;
@@ -243,7 +243,7 @@
     }
 
     /// Notes what must be written with the next turn, or whenever writing succeeds again.
-    pub fn note(&mut self, record: &Record, now: u64) {
+    pub fn enqueue(&mut self, record: &Record, now: u64) {
         let span = self.put(record);
         if let Some(open) = self.book(record, span.len, now) {
             self.placed.push((open, span));
@@ -263,7 +263,7 @@
     }
 
     /// Whether all that was noted stands in the file.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.backlog.is_empty()
     }
 
@@ -413,7 +413,7 @@
                 self.ends.insert(name, *end, *until, now);
                 return None;
             }
-            Record::Owed(_, end, until) => self.ends.insert(name, (*end).into(), *until, now),
+            Record::NoticePending(_, end, until) => self.ends.insert(name, (*end).into(), *until, now),
             _ => {}
         }
         let turns = &mut self.turns;
@@ -471,7 +471,7 @@
             if self.durability == Durability::Disk {
                 file.sync_all()?;
             }
-            pass(Point::BeforeRename);
+            crash_point(Point::BeforeRename);
             Ok(fs::rename(&new, &self.path)?)
         });
         let (len, placed, gaps) = out.end();
@@ -618,7 +618,7 @@
         let id = &message.accepted.id;
         records.push(Record::Accepted(message.accepted.clone()));
         for (n, attempt) in message.attempts.iter().enumerate() {
-            records.push(Record::Sent(id.clone(), n, attempt.sent, attempt.zone.clone()));
+            records.push(Record::Sent(id.clone(), n, attempt.sent_ms, attempt.zone.clone()));
             if !attempt.may_have_run {
                 records.push(Record::Ended(id.clone(), n, false));
             }
@@ -627,14 +627,18 @@
             // It may have run at no known time.
             records.push(Record::Sent(id.clone(), message.attempts.len(), 0, String::new()));
         }
-        records.extend(message.owed.map(|end| Record::Owed(id.clone(), end, message.accepted.deadline)));
+        records.extend(
+            message
+                .pending_notice
+                .map(|end| Record::NoticePending(id.clone(), end, message.accepted.deadline)),
+        );
         if records.len() >= RECORDS_A_WRITE {
             journal.commit(&records, now)?;
             records.clear();
         }
     }
     for (id, end) in orphans {
-        journal.note(&Record::Owed(id.clone(), *end, now), now);
+        journal.enqueue(&Record::NoticePending(id.clone(), *end, now), now);
     }
     journal.commit(&records, now)?;
     if options.durability == Durability::Disk {
@@ -744,7 +748,7 @@
     const LIMIT: u64 = 3 << 20;
 
     fn open(folder: &Folder, limit: u64) -> (Journal, Recovered) {
-        let options = Options { limit, durability: Durability::Process };
+        let options = Options { max_bytes: limit, durability: Durability::Process };
         Journal::open(&folder.0, options, NOW).expect("it opens")
     }
 
@@ -785,7 +789,7 @@
                         *over = true;
                         records.push(closed(&id));
                     }
-                    (Some(_), _) => records.push(Record::Owed(id, NoticeEnd::GivenUp, NOW + 1000)),
+                    (Some(_), _) => records.push(Record::NoticePending(id, NoticeEnd::GivenUp, NOW + 1000)),
                 }
             }
             records
@@ -802,7 +806,7 @@
         ) {
             let folder = Folder::new();
             let durability = if disk { Durability::Disk } else { Durability::Process };
-            let options = Options { limit: LIMIT, durability };
+            let options = Options { max_bytes: LIMIT, durability };
             let (mut journal, _) = Journal::open(&folder.0, options, NOW).expect("it opens");
             for part in records.chunks(3) {
                 journal.commit(part, NOW).expect("there is room");
@@ -851,7 +855,7 @@
                 };
                 let risks = |o: &OpenMessage| o.attempts.iter().filter(|a| a.may_have_run).count();
                 prop_assert!(risks(&whole) <= risks(now) || now.in_doubt, "{:?} {:?}", whole, now);
-                prop_assert!(whole.owed == now.owed || now.in_doubt, "{:?} {:?}", whole, now);
+                prop_assert!(whole.pending_notice == now.pending_notice || now.in_doubt, "{:?} {:?}", whole, now);
             }
             // One that was over and seems open again is in doubt: nothing unsafe is sent again for it.
             let over = |id: &str| !open_of(&records).iter().any(|o| o.accepted.id == id);
@@ -887,14 +891,14 @@
         for n in 0..2000u64 {
             let id = format!("m{n}");
             journal.commit(&[accepted(&id, vec![0; 400])], NOW + n).expect("there is room");
-            journal.note(&Record::Closed(id, End::Delivered, NOW + n + 10), NOW + n);
+            journal.enqueue(&Record::Closed(id, End::Delivered, NOW + n + 10), NOW + n);
             assert!(journal.len <= COMPACT_FROM + 1024);
         }
         journal.commit(&[], NOW).expect("there is room");
         let size = fs::metadata(&journal.path).expect("it is there").len();
         assert_eq!(size, journal.len);
         drop(journal);
-        let options = Options { limit: LIMIT, durability: Durability::Process };
+        let options = Options { max_bytes: LIMIT, durability: Durability::Process };
         let (again, recovered) = Journal::open(&folder.0, options, NOW + 2005).expect("it opens");
         assert_eq!(recovered.open.iter().map(|o| o.accepted.id.as_str()).collect::<Vec<_>>(), ["kept"]);
         assert!(again.end_of("m1999").is_some() && again.end_of("m1000").is_none());
@@ -916,9 +920,9 @@
                 journal
                     .commit(&[Record::Sent(id.clone(), attempt, NOW, "hall-a".into())], NOW)
                     .expect("kept room");
-                journal.note(&Record::Ended(id.clone(), attempt, false), NOW);
+                journal.enqueue(&Record::Ended(id.clone(), attempt, false), NOW);
             }
-            journal.note(&Record::Closed(id, End::Failed, 0), NOW);
+            journal.enqueue(&Record::Closed(id, End::Failed, 0), NOW);
             journal.commit(&[], NOW).expect("kept room");
         }
         assert!(journal.has_room(1, 500, NOW));
@@ -936,7 +940,7 @@
             } else {
                 refused += 1;
                 // One ends for each that is refused: there is always a little to free.
-                journal.note(&Record::Closed(format!("m{refused}"), End::Failed, 0), NOW);
+                journal.enqueue(&Record::Closed(format!("m{refused}"), End::Failed, 0), NOW);
                 journal.commit(&[], NOW).expect("kept room");
             }
             compacted += usize::from(journal.len < len);
@@ -953,12 +957,12 @@
         let (mut journal, _) = open(&folder, LIMIT);
         journal.commit(&[accepted("a", vec![])], NOW).expect("there is room");
         journal.limit = journal.len;
-        journal.note(&closed("a"), NOW);
+        journal.enqueue(&closed("a"), NOW);
         assert!(journal.commit(&[accepted("b", vec![])], NOW).is_err());
-        assert!(!journal.is_settled());
+        assert!(!journal.is_flushed());
         journal.limit = LIMIT;
         journal.commit(&[], NOW).expect("there is room again");
-        assert!(journal.is_settled());
+        assert!(journal.is_flushed());
         drop(journal);
         let (again, recovered) = open(&folder, LIMIT);
         assert!(recovered.open.is_empty() && again.end_of("a").is_some());
@@ -979,15 +983,15 @@
         drop(journal);
         let (_, recovered) = open(&folder, LIMIT);
         let ids: Vec<&str> = recovered.open.iter().map(|o| o.accepted.id.as_str()).collect();
-        assert_eq!((ids, recovered.damage.len(), recovered.torn), (vec!["a", "c"], 0, 0));
+        assert_eq!((ids, recovered.damage.len(), recovered.torn_bytes), (vec!["a", "c"], 0, 0));
     }
 
     #[test]
     fn a_second_process_is_kept_out() {
         let folder = Folder::new();
         let (journal, _) = open(&folder, LIMIT);
-        let options = Options { limit: LIMIT, durability: Durability::Process };
-        assert!(matches!(Journal::open(&folder.0, options, NOW), Err(JournalError::Held(_))));
+        let options = Options { max_bytes: LIMIT, durability: Durability::Process };
+        assert!(matches!(Journal::open(&folder.0, options, NOW), Err(JournalError::Locked(_))));
         drop(journal);
         assert!(Journal::open(&folder.0, options, NOW).is_ok());
     }
@@ -1007,14 +1011,15 @@
         for _ in 0..3 {
             let (journal, recovered) = open(&folder, LIMIT);
             let told = |r: &Recovered| -> Vec<String> {
-                let open = r.open.iter().filter(|o| o.owed.is_some()).map(|o| o.accepted.id.clone());
+                let open =
+                    r.open.iter().filter(|o| o.pending_notice.is_some()).map(|o| o.accepted.id.clone());
                 r.orphans.iter().map(|(id, _)| id.clone()).chain(open).collect()
             };
             assert_eq!(told(&recovered), ["a"]);
             assert_eq!(journal.end_of("a"), None);
         }
         let (mut journal, _) = open(&folder, LIMIT);
-        journal.note(&Record::Closed("a".into(), End::Failed, 0), NOW);
+        journal.enqueue(&Record::Closed("a".into(), End::Failed, 0), NOW);
         journal.commit(&[], NOW).expect("there is room");
         drop(journal);
         let (_, recovered) = open(&folder, LIMIT);
--- a/crates/routes/src/fault.rs
+++ b/crates/routes/src/fault.rs
@@ -4,7 +4,7 @@
 
 /// Where something stands in a document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     /// The file, as it was named to the reader.
     pub file: String,
     /// Counted from 1; 0 for the file as a whole.
@@ -13,7 +13,7 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line == 0 {
             f.write_str(&self.file)
@@ -25,19 +25,19 @@
 
 /// One fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What.
-    pub what: String,
+    pub problem: String,
     /// What to do about it.
     pub remedy: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {} ({})", self.place, self.what, self.remedy)
+        write!(f, "{}: {} ({})", self.location, self.problem, self.remedy)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Diagnostic {}
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -6,7 +6,7 @@
 //! module goes on choosing the endpoint within what a rule allows.
 //!
 //! ```
-//! use yarrowhill_routes::{Message, Router, read};
+//! use yarrowhill_routes::{Message, Router, parse};
 //! let text = r#"
 //! partner "issuer-a" dest=7 {
 //!     pool "near" zone="hall-a"
@@ -16,7 +16,7 @@
 //!     refuse wait="30m"
 //! }
 //! "#;
-//! let routes = read(&[("routes.kdl".into(), text.into())]).expect("it is well formed");
+//! let routes = parse(&[("routes.kdl".into(), text.into())]).expect("it is well formed");
 //! let router = Router::new(routes);
 //! let message = Message { class: "settle-order", dest: 7, minute: 23 * 60, ..Message::default() };
 //! assert_eq!(router.route(&message).map(|rule| &*rule.name), Some("night"));
@@ -29,8 +29,10 @@
 mod read;
 mod router;
 
-pub use fault::{Fault, Place};
-pub use model::{Action, AddressSet, Hours, Message, Part, Partner, Pool, Routes, Rule, Sticky, When};
-pub use prefixes::Prefixes;
-pub use read::{FILE_MOST, RULES_MOST, read};
+pub use fault::{Diagnostic, Location};
+pub use model::{
+    Action, AddressSet, Affinity, Condition, Hours, Message, Partner, Pool, Routes, Rule, WeightedPool,
+};
+pub use prefixes::PrefixSet;
+pub use read::{MAX_FILE_BYTES, MAX_RULES, parse};
 pub use router::Router;
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -1,6 +1,6 @@
 //! What a document says, with names resolved.
 
-use crate::fault::Place;
+use crate::fault::Location;
 use ipnet::IpNet;
 use std::net::IpAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     /// Those that messages go to.
     pub partners: Vec<Partner>,
     /// Sets of source addresses.
-    pub sets: Vec<AddressSet>,
+    pub address_sets: Vec<AddressSet>,
     /// The first that matches decides.
     pub rules: Vec<Rule>,
 }
@@ -48,7 +48,7 @@
     /// Its name in the document.
     pub name: String,
     /// May overlap.
-    pub nets: Vec<IpNet>,
+    pub networks: Vec<IpNet>,
 }
 
 /// One rule.
@@ -57,16 +57,16 @@
     /// Its name, told once in a document.
     pub name: String,
     /// Which messages it is for.
-    pub when: When,
+    pub condition: Condition,
     /// What becomes of them.
     pub action: Action,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// A condition: all that is told must hold; of several values of one thing any.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct When {
+pub struct Condition {
     /// Classes by name; empty: any.
     pub classes: Vec<String>,
     /// Owners by name; empty: any.
@@ -76,9 +76,9 @@
     /// Headers (names in lower case) with their values, all of them.
     pub headers: Vec<(String, String)>,
     /// Least and greatest length of the body (bytes).
-    pub body: Option<(u64, u64)>,
+    pub body_bytes: Option<(u64, u64)>,
     /// Address sets by index; empty: any.
-    pub from: Vec<usize>,
+    pub sources: Vec<usize>,
     /// Time of day.
     pub hours: Option<Hours>,
 }
@@ -95,20 +95,20 @@
 
 impl Hours {
     /// Minutes of a day.
-    pub const DAY: u16 = 24 * 60;
+    pub const MINUTES_PER_DAY: u16 = 24 * 60;
 
     /// Whether a minute of the day is in it.
     pub fn contains(self, minute: u16) -> bool {
-        (minute + Self::DAY - self.from) % Self::DAY < self.len()
+        (minute + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY < self.len()
     }
 
     fn len(self) -> u16 {
-        (self.until + Self::DAY - self.from) % Self::DAY
+        (self.until + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY
     }
 
     /// Whether every minute of the other is in it.
     pub fn covers(self, other: Hours) -> bool {
-        (other.from + Self::DAY - self.from) % Self::DAY + other.len() <= self.len()
+        (other.from + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY + other.len() <= self.len()
     }
 }
 
@@ -120,9 +120,9 @@
     /// It may go to one of several pools of its partner, by weight; what is alike in `by` goes to the same one.
     Split {
         /// What sticks.
-        by: Sticky,
+        affinity: Affinity,
         /// At least one with a weight above 0.
-        parts: Vec<Part>,
+        parts: Vec<WeightedPool>,
     },
     /// It is refused; the client may come again after this time.
     Refuse(Duration),
@@ -130,7 +130,7 @@
 
 /// One way of a split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct WeightedPool {
     /// The pool, by index in its partner.
     pub pool: usize,
     /// Its share.
@@ -139,7 +139,7 @@
 
 /// What goes the same way in a split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sticky {
+pub enum Affinity {
     /// Messages of one owner.
     Owner,
     /// Messages with one idempotency key.
@@ -149,12 +149,12 @@
 impl Action {
     /// The pool for a message, `key` being what sticks; `None` if it is refused. Weighted rendezvous hashing: a changed
     /// weight moves only what it must.
-    pub fn pool(&self, key: &str) -> Option<usize> {
+    pub fn select_pool(&self, key: &str) -> Option<usize> {
         match self {
             Action::Pool(pool) => Some(*pool),
             Action::Refuse(_) => None,
             Action::Split { parts, .. } => {
-                let score = |part: &Part| -unit(key, part.pool).ln() / f64::from(part.weight);
+                let score = |part: &WeightedPool| -unit(key, part.pool).ln() / f64::from(part.weight);
                 let ways = parts.iter().filter(|part| part.weight > 0);
                 ways.min_by(|a, b| score(a).total_cmp(&score(b))).map(|part| part.pool)
             }
@@ -183,9 +183,9 @@
     /// Headers, names in lower case.
     pub headers: &'a [(&'a str, &'a str)],
     /// Length of its body (bytes).
-    pub body: u64,
+    pub body_bytes: u64,
     /// Where it came from.
-    pub from: Option<IpAddr>,
+    pub source: Option<IpAddr>,
     /// Minute of the day, 0 to 1439.
     pub minute: u16,
 }
--- a/crates/routes/src/prefixes.rs
+++ b/crates/routes/src/prefixes.rs
@@ -14,11 +14,11 @@
 /// A set of prefixes of both families.
 ///
 /// ```
-/// let set: yarrowhill_routes::Prefixes = ["10.0.0.0/8".parse().unwrap()].into_iter().collect();
+/// let set: yarrowhill_routes::PrefixSet = ["10.0.0.0/8".parse().unwrap()].into_iter().collect();
 /// assert!(set.contains("10.1.2.3".parse().unwrap()) && !set.contains("::1".parse().unwrap()));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Prefixes(Vec<Node>);
+pub struct PrefixSet(Vec<Node>);
 
 /// Bits from the highest, and which root they start from.
 fn bits(address: IpAddr) -> (usize, u128) {
@@ -28,7 +28,7 @@
     }
 }
 
-impl Prefixes {
+impl PrefixSet {
     /// Whether a prefix of the set holds the address. One of the fourth version that is written in the sixth is the same.
     pub fn contains(&self, address: IpAddr) -> bool {
         let (mut node, mut bits) = bits(address);
@@ -59,9 +59,9 @@
     }
 }
 
-impl FromIterator<IpNet> for Prefixes {
+impl FromIterator<IpNet> for PrefixSet {
     fn from_iter<I: IntoIterator<Item = IpNet>>(nets: I) -> Self {
-        let mut set = Prefixes(vec![Node::default(); 2]);
+        let mut set = PrefixSet(vec![Node::default(); 2]);
         nets.into_iter().for_each(|net| set.insert(net));
         set
     }
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -1,8 +1,10 @@
 //! From KDL to the model: every fault at once, and nothing unless there is none.
 
 use crate::check;
-use crate::fault::{Fault, Place};
-use crate::model::{Action, AddressSet, Hours, Part, Partner, Pool, Routes, Rule, Sticky, When};
+use crate::fault::{Diagnostic, Location};
+use crate::model::{
+    Action, AddressSet, Affinity, Condition, Hours, Partner, Pool, Routes, Rule, WeightedPool,
+};
 use ipnet::IpNet;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::BTreeMap;
@@ -10,9 +12,9 @@
 use std::time::Duration;
 
 /// The longest text that is read (bytes).
-pub const FILE_MOST: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 /// The most rules in a document.
-pub const RULES_MOST: usize = 20_000;
+pub const MAX_RULES: usize = 20_000;
 /// Faults that are told; what is over is left out.
 const FAULTS_MOST: usize = 1_000;
 /// The longest wait that a rule may tell.
@@ -23,9 +25,10 @@
 /// # Errors
 ///
 /// Everything that is wrong with it, by place.
-pub fn read(fragments: &[(String, String)]) -> Result<Routes, Vec<Fault>> {
+pub fn parse(fragments: &[(String, String)]) -> Result<Routes, Vec<Diagnostic>> {
     let mut reader = Reader::default();
-    let parsed: Vec<_> = fragments.iter().filter_map(|(file, text)| reader.parse(file, text)).collect();
+    let parsed: Vec<_> =
+        fragments.iter().filter_map(|(file, text)| reader.parse_fragment(file, text)).collect();
     // Rules may name what stands in a later fragment.
     for (source, document) in &parsed {
         for node in document.nodes() {
@@ -43,9 +46,13 @@
     for (source, document) in &parsed {
         document.nodes().iter().filter(|n| n.name().value() == "rule").for_each(|n| reader.rule(source, n));
     }
-    if reader.faults.is_empty() && reader.routes.rules.len() > RULES_MOST {
-        let what = format!("{} rules, and {RULES_MOST} are the most", reader.routes.rules.len());
-        reader.faults.push(Fault { place: Place::default(), what, remedy: "join some of them".into() });
+    if reader.faults.is_empty() && reader.routes.rules.len() > MAX_RULES {
+        let what = format!("{} rules, and {MAX_RULES} are the most", reader.routes.rules.len());
+        reader.faults.push(Diagnostic {
+            location: Location::default(),
+            problem: what,
+            remedy: "join some of them".into(),
+        });
     }
     if reader.faults.is_empty() {
         (reader.routes, reader.faults) = check::shadowed(reader.routes);
@@ -63,11 +70,11 @@
 }
 
 impl Source<'_> {
-    fn place(&self, offset: usize) -> Place {
+    fn place(&self, offset: usize) -> Location {
         let line = self.lines.partition_point(|start| *start <= offset);
         let start = self.lines.get(line.saturating_sub(1)).copied().unwrap_or(0);
         let column = self.text.get(start..offset).map_or(1, |before| before.chars().count() + 1);
-        Place { file: self.file.to_owned(), line, column }
+        Location { file: self.file.to_owned(), line, column }
     }
 }
 
@@ -91,23 +98,31 @@
 #[derive(Default)]
 struct Reader {
     routes: Routes,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
     /// Where each name was told first, by what it names.
-    names: BTreeMap<(&'static str, String), Place>,
+    names: BTreeMap<(&'static str, String), Location>,
 }
 
 impl Reader {
     fn fault(&mut self, source: &Source<'_>, at: &impl At, what: String, remedy: &str) {
-        self.faults.push(Fault { place: source.place(at.offset()), what, remedy: remedy.to_owned() });
+        self.faults.push(Diagnostic {
+            location: source.place(at.offset()),
+            problem: what,
+            remedy: remedy.to_owned(),
+        });
     }
 
-    fn parse<'a>(&mut self, file: &'a str, text: &'a str) -> Option<(Source<'a>, KdlDocument)> {
+    fn parse_fragment<'a>(&mut self, file: &'a str, text: &'a str) -> Option<(Source<'a>, KdlDocument)> {
         let lines = [0].into_iter().chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
         let source = Source { file, text, lines };
-        if text.len() > FILE_MOST {
-            let place = Place { file: file.to_owned(), ..Place::default() };
-            let what = format!("{} bytes, and {FILE_MOST} are the most", text.len());
-            self.faults.push(Fault { place, what, remedy: "cut it into fragments".into() });
+        if text.len() > MAX_FILE_BYTES {
+            let place = Location { file: file.to_owned(), ..Location::default() };
+            let what = format!("{} bytes, and {MAX_FILE_BYTES} are the most", text.len());
+            self.faults.push(Diagnostic {
+                location: place,
+                problem: what,
+                remedy: "cut it into fragments".into(),
+            });
             return None;
         }
         match KdlDocument::parse(text) {
@@ -116,7 +131,11 @@
                 for found in e.diagnostics {
                     let what = found.message.or(found.label).unwrap_or_else(|| "not KDL".into());
                     let remedy = found.help.unwrap_or_else(|| "see kdl.dev for the form".into());
-                    self.faults.push(Fault { place: source.place(found.span.offset()), what, remedy });
+                    self.faults.push(Diagnostic {
+                        location: source.place(found.span.offset()),
+                        problem: what,
+                        remedy,
+                    });
                 }
                 None
             }
@@ -269,13 +288,13 @@
         if nets.is_empty() {
             self.fault(source, node, format!("addresses {name:?} are empty"), "add one, or take the set out");
         }
-        self.routes.sets.push(AddressSet { name, nets });
+        self.routes.address_sets.push(AddressSet { name, networks: nets });
     }
 
     fn rule(&mut self, source: &Source<'_>, node: &KdlNode) {
         let name = self.name(source, node, "rule", "");
         self.properties(source, node, &[]);
-        let (mut when, mut actions) = (When::default(), Vec::new());
+        let (mut when, mut actions) = (Condition::default(), Vec::new());
         for child in node.iter_children() {
             match child.name().value() {
                 "match" => self.condition(source, child, &mut when),
@@ -296,11 +315,16 @@
             _ => self.split(source, action, &when),
         };
         if let (Some(name), Some(action)) = (name, action) {
-            self.routes.rules.push(Rule { name, when, action, place: source.place(node.offset()) });
+            self.routes.rules.push(Rule {
+                name,
+                condition: when,
+                action,
+                location: source.place(node.offset()),
+            });
         }
     }
 
-    fn condition(&mut self, source: &Source<'_>, node: &KdlNode, when: &mut When) {
+    fn condition(&mut self, source: &Source<'_>, node: &KdlNode, when: &mut Condition) {
         if let Some(argument) = node.entries().iter().find(|e| e.name().is_none()) {
             self.fault(source, argument, "a value without a key".into(), "write key=\"value\"");
         }
@@ -308,8 +332,8 @@
             let Some(key) = entry.name().map(|name| name.value()) else { continue };
             if key == "least" || key == "most" {
                 let Some(bytes) = self.number(source, entry, u64::from(u32::MAX)) else { continue };
-                let (least, most) = when.body.unwrap_or((0, u64::MAX));
-                when.body = Some(if key == "least" { (bytes, most) } else { (least, bytes) });
+                let (least, most) = when.body_bytes.unwrap_or((0, u64::MAX));
+                when.body_bytes = Some(if key == "least" { (bytes, most) } else { (least, bytes) });
                 continue;
             }
             let Some(text) = self.text(source, entry) else { continue };
@@ -325,8 +349,8 @@
                         "name one that the document has",
                     ),
                 },
-                "from" => match self.routes.sets.iter().position(|s| s.name == text) {
-                    Some(set) => when.from.push(set),
+                "from" => match self.routes.address_sets.iter().position(|s| s.name == text) {
+                    Some(set) => when.sources.push(set),
                     None => self.fault(
                         source,
                         entry,
@@ -355,7 +379,7 @@
                 }
             }
         }
-        if when.body.is_some_and(|(least, most)| least > most) {
+        if when.body_bytes.is_some_and(|(least, most)| least > most) {
             self.fault(source, node, "no body is that long".into(), "least is not over most");
         }
     }
@@ -379,7 +403,7 @@
     }
 
     /// The pool that a node names, of the one partner that its rule is for.
-    fn chosen(&mut self, source: &Source<'_>, node: &KdlNode, when: &When) -> Option<usize> {
+    fn chosen(&mut self, source: &Source<'_>, node: &KdlNode, when: &Condition) -> Option<usize> {
         let Some(entry) = node.entries().iter().find(|e| e.name().is_none()) else {
             self.fault(source, node, "a pool without a name".into(), "put its name in quotes behind it");
             return None;
@@ -398,12 +422,12 @@
         found
     }
 
-    fn split(&mut self, source: &Source<'_>, node: &KdlNode, when: &When) -> Option<Action> {
+    fn split(&mut self, source: &Source<'_>, node: &KdlNode, when: &Condition) -> Option<Action> {
         let properties = self.properties(source, node, &["by"]);
         let by = match properties.get("by").map(|e| e.value()) {
-            None => Sticky::Key,
-            Some(KdlValue::String(by)) if by == "key" => Sticky::Key,
-            Some(KdlValue::String(by)) if by == "owner" => Sticky::Owner,
+            None => Affinity::Key,
+            Some(KdlValue::String(by)) if by == "key" => Affinity::Key,
+            Some(KdlValue::String(by)) if by == "owner" => Affinity::Owner,
             Some(other) => {
                 let what = format!("nothing sticks by {other}");
                 self.fault(source, node, what, "by=\"key\" or by=\"owner\"");
@@ -421,14 +445,14 @@
             let weight = properties.get("weight").map_or(Some(1), |e| self.number(source, e, 1_000_000));
             let pool = self.chosen(source, child, when);
             if let (Some(pool), Some(weight)) = (pool, weight.and_then(|w| u32::try_from(w).ok())) {
-                parts.push(Part { pool, weight });
+                parts.push(WeightedPool { pool, weight });
             }
         }
         if parts.iter().all(|part| part.weight == 0) {
             self.fault(source, node, "the weights sum to 0".into(), "give a pool a weight above 0");
             return None;
         }
-        Some(Action::Split { by, parts })
+        Some(Action::Split { affinity: by, parts })
     }
 }
 
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,7 +1,7 @@
 //! The compiled document: the first rule that matches, without a look at all of them.
 
-use crate::model::{Message, Routes, Rule, When};
-use crate::prefixes::Prefixes;
+use crate::model::{Condition, Message, Routes, Rule};
+use crate::prefixes::PrefixSet;
 use std::collections::HashMap;
 
 /// A rule that names more combinations than this is kept under fewer things.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Router {
     routes: Routes,
-    sets: Vec<Prefixes>,
+    sets: Vec<PrefixSet>,
     classes: HashMap<String, u32>,
     owners: HashMap<String, u32>,
     dests: HashMap<u64, usize>,
@@ -26,7 +26,7 @@
     /// Compiles what was read.
     pub fn new(routes: Routes) -> Self {
         let mut router = Router {
-            sets: routes.sets.iter().map(|set| set.nets.iter().copied().collect()).collect(),
+            sets: routes.address_sets.iter().map(|set| set.networks.iter().copied().collect()).collect(),
             dests: routes.partners.iter().enumerate().map(|(i, p)| (p.dest, i)).collect(),
             routes,
             classes: HashMap::new(),
@@ -34,7 +34,7 @@
             buckets: HashMap::new(),
         };
         for (number, rule) in router.routes.rules.iter().enumerate() {
-            let When { classes, owners, partners, .. } = &rule.when;
+            let Condition { classes, owners, partners, .. } = &rule.condition;
             let classes = numbered(&mut router.classes, classes);
             let owners = numbered(&mut router.owners, owners);
             let partners: Vec<_> = any(partners.iter().copied().map(Some).collect());
@@ -69,12 +69,12 @@
         let owner = message.owner.and_then(|owner| self.owners.get(owner)).copied();
         let partner = self.dests.get(&message.dest).copied();
         let mut found = self.candidates(class, owner, partner);
-        found.find(|n| self.matches(&self.routes.rules[*n].when, message)).map(|n| &self.routes.rules[n])
+        found.find(|n| self.matches(&self.routes.rules[*n].condition, message)).map(|n| &self.routes.rules[n])
     }
 
     /// The same by a look at one rule after another: what the index is measured against.
-    pub fn scan(&self, message: &Message<'_>) -> Option<&Rule> {
-        self.routes.rules.iter().find(|rule| self.matches(&rule.when, message))
+    pub fn route_by_scan(&self, message: &Message<'_>) -> Option<&Rule> {
+        self.routes.rules.iter().find(|rule| self.matches(&rule.condition, message))
     }
 
     /// Rules kept under these or under any, in their order.
@@ -101,13 +101,13 @@
     }
 
     /// The numbers that rules with this condition are kept under: the first of each thing.
-    pub(crate) fn first_of(&self, when: &When) -> (Option<u32>, Option<u32>, Option<usize>) {
+    pub(crate) fn first_of(&self, when: &Condition) -> (Option<u32>, Option<u32>, Option<usize>) {
         let class = when.classes.first().and_then(|c| self.classes.get(c)).copied();
         let owner = when.owners.first().and_then(|o| self.owners.get(o)).copied();
         (class, owner, when.partners.first().copied())
     }
 
-    fn matches(&self, when: &When, m: &Message<'_>) -> bool {
+    fn matches(&self, when: &Condition, m: &Message<'_>) -> bool {
         let named = |names: &[String], name: Option<&str>| {
             names.is_empty() || name.is_some_and(|name| names.iter().any(|n| n == name))
         };
@@ -117,10 +117,10 @@
             && named(&when.owners, m.owner)
             && (when.partners.is_empty() || when.partners.iter().any(dest))
             && when.headers.iter().all(header)
-            && when.body.is_none_or(|(least, most)| (least..=most).contains(&m.body))
+            && when.body_bytes.is_none_or(|(least, most)| (least..=most).contains(&m.body_bytes))
             && when.hours.is_none_or(|hours| hours.contains(m.minute))
-            && (when.from.is_empty()
-                || m.from.is_some_and(|from| when.from.iter().any(|set| self.sets[*set].contains(from))))
+            && (when.sources.is_empty()
+                || m.source.is_some_and(|from| when.sources.iter().any(|set| self.sets[*set].contains(from))))
     }
 }
 
--- a/crates/routes/tests/documents.rs
+++ b/crates/routes/tests/documents.rs
@@ -1,6 +1,6 @@
 //! What is read, and what is refused as a whole with every fault at its place.
 
-use yarrowhill_routes::{Action, Fault, Hours, Message, Router, Sticky, read};
+use yarrowhill_routes::{Action, Affinity, Diagnostic, Hours, Message, Router, parse};
 
 const GOOD: &str = r#"
 partner "issuer-a" dest=7 {
@@ -25,24 +25,30 @@
 }
 "#;
 
-fn faults(text: &str) -> Vec<Fault> {
-    read(&[("a.kdl".into(), text.into())]).expect_err("it has faults")
+fn faults(text: &str) -> Vec<Diagnostic> {
+    parse(&[("a.kdl".into(), text.into())]).expect_err("it has faults")
 }
 
 #[test]
 fn a_document_is_read_and_routes() {
-    let routes = read(&[("a.kdl".into(), GOOD.into())]).unwrap_or_else(|f| panic!("{f:#?}"));
-    assert_eq!(routes.rules[0].when.hours, Some(Hours { from: 22 * 60, until: 6 * 60 }));
-    assert!(matches!(routes.rules[1].action, Action::Split { by: Sticky::Owner, .. }));
+    let routes = parse(&[("a.kdl".into(), GOOD.into())]).unwrap_or_else(|f| panic!("{f:#?}"));
+    assert_eq!(routes.rules[0].condition.hours, Some(Hours { from: 22 * 60, until: 6 * 60 }));
+    assert!(matches!(routes.rules[1].action, Action::Split { affinity: Affinity::Owner, .. }));
     let router = Router::new(routes);
     let order = Message { class: "settle-order", dest: 7, minute: 5 * 60, ..Message::default() };
     let named = |m: &Message<'_>| router.route(m).map(|rule| rule.name.clone());
     assert_eq!(named(&order).as_deref(), Some("night"));
     assert_eq!(named(&Message { minute: 6 * 60, ..order }).as_deref(), Some("rest"));
     let from = "10.1.2.3".parse().ok();
-    let trial = Message { class: "auth-notice", from, headers: &[("x-trial", "yes")], body: 10, ..order };
+    let trial = Message {
+        class: "auth-notice",
+        source: from,
+        headers: &[("x-trial", "yes")],
+        body_bytes: 10,
+        ..order
+    };
     assert_eq!(named(&trial).as_deref(), Some("stations"));
-    assert_eq!(named(&Message { body: 9, ..trial }).as_deref(), Some("rest"));
+    assert_eq!(named(&Message { body_bytes: 9, ..trial }).as_deref(), Some("rest"));
     assert_eq!(named(&Message { dest: 8, ..order }), None);
 }
 
@@ -50,7 +56,7 @@
 fn a_rule_may_name_what_a_later_fragment_has() {
     let (first, second) = GOOD.split_at(GOOD.find("rule \"night\"").expect("it is there"));
     let fragments = [("b.kdl".into(), second.into()), ("a.kdl".into(), first.into())];
-    assert!(read(&fragments).is_ok());
+    assert!(parse(&fragments).is_ok());
 }
 
 /// Each mistake, and what the fault must name: line, column and a word of it.
@@ -79,7 +85,9 @@
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from}");
         let found = faults(&text);
-        let fits = |f: &Fault| (f.place.line, f.place.column) == (line, column) && f.what.contains(word);
+        let fits = |f: &Diagnostic| {
+            (f.location.line, f.location.column) == (line, column) && f.problem.contains(word)
+        };
         assert!(found.iter().any(fits) && found.iter().all(|f| !f.remedy.is_empty()), "{to}: {found:#?}");
     }
 }
@@ -88,9 +96,9 @@
 fn all_faults_are_told_at_once() {
     let text = GOOD.replacen("dest=7", "dest=x", 1).replacen("30m", "never", 1).replacen("zone", "zoen", 1);
     // What is no KDL at all hides the rest of its own fragment only.
-    let read = read(&[("a.kdl".into(), text), ("b.kdl".into(), "rule \"x\" {\n".into())]);
+    let read = parse(&[("a.kdl".into(), text), ("b.kdl".into(), "rule \"x\" {\n".into())]);
     let found = read.expect_err("it has faults");
-    assert!(found.iter().any(|f| f.place.file == "b.kdl"), "{found:#?}");
+    assert!(found.iter().any(|f| f.location.file == "b.kdl"), "{found:#?}");
 }
 
 #[test]
@@ -114,12 +122,15 @@
         ("header=\"a: b\"", "header=\"A: b\" header=\"c: d\"", true),
     ] {
         let text = format!("{sets}{}{}", rule("first", wide), rule("second", narrow));
-        let read = read(&[("a.kdl".into(), text)]);
+        let read = parse(&[("a.kdl".into(), text)]);
         match read {
             Ok(_) => assert!(!shadowed, "{wide} before {narrow}"),
             Err(found) => {
                 assert!(shadowed, "{wide} before {narrow}: {found:#?}");
-                assert!(found[0].what.contains("never matches") && found[0].place.line == 7, "{found:#?}");
+                assert!(
+                    found[0].problem.contains("never matches") && found[0].location.line == 7,
+                    "{found:#?}"
+                );
             }
         }
     }
@@ -127,6 +138,6 @@
 
 #[test]
 fn what_is_too_much_is_refused() {
-    let long = format!("// {}\n", "x".repeat(yarrowhill_routes::FILE_MOST));
-    assert!(faults(&long)[0].what.contains("are the most"));
+    let long = format!("// {}\n", "x".repeat(yarrowhill_routes::MAX_FILE_BYTES));
+    assert!(faults(&long)[0].problem.contains("are the most"));
 }
--- a/crates/routes/tests/lookup.rs
+++ b/crates/routes/tests/lookup.rs
@@ -5,42 +5,43 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::time::Duration;
 use yarrowhill_routes::{
-    Action, AddressSet, Hours, Message, Part, Partner, Place, Prefixes, Router, Routes, Rule, Sticky, When,
+    Action, AddressSet, Affinity, Condition, Hours, Location, Message, Partner, PrefixSet, Router, Routes,
+    Rule, WeightedPool,
 };
 
 fn names(of: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
     proptest::sample::subsequence(of, 0..=2).prop_map(|names| names.into_iter().map(str::to_owned).collect())
 }
 
-fn rule() -> impl Strategy<Value = When> {
+fn rule() -> impl Strategy<Value = Condition> {
     let hours = proptest::option::weighted(0.3, (0..1440u16, 1..1440u16));
     let body = proptest::option::weighted(0.3, (0..50u64, 0..50u64));
     let some = |most| proptest::sample::subsequence((0..most).collect::<Vec<usize>>(), 0..=2);
     (names(&["a", "b", "c"]), names(&["o", "p"]), some(4), some(2), hours, body).prop_map(
-        |(classes, owners, partners, from, hours, body)| When {
+        |(classes, owners, partners, from, hours, body)| Condition {
             classes,
             owners,
             partners,
-            from,
-            hours: hours.map(|(from, len)| Hours { from, until: (from + len) % Hours::DAY }),
-            body: body.map(|(least, more)| (least, least + more)),
+            sources: from,
+            hours: hours.map(|(from, len)| Hours { from, until: (from + len) % Hours::MINUTES_PER_DAY }),
+            body_bytes: body.map(|(least, more)| (least, least + more)),
             headers: Vec::new(),
         },
     )
 }
 
-fn routes(rules: Vec<When>) -> Routes {
+fn routes(rules: Vec<Condition>) -> Routes {
     let partner = |dest| Partner { name: format!("p{dest}"), dest, pools: Vec::new() };
-    let set = |net: &str| AddressSet { name: net.into(), nets: vec![net.parse().expect("a prefix")] };
+    let set = |net: &str| AddressSet { name: net.into(), networks: vec![net.parse().expect("a prefix")] };
     let rule = |(n, when)| Rule {
         name: format!("r{n}"),
-        when,
+        condition: when,
         action: Action::Refuse(Duration::from_secs(1)),
-        place: Place::default(),
+        location: Location::default(),
     };
     Routes {
         partners: (0..4).map(partner).collect(),
-        sets: vec![set("10.0.0.0/8"), set("10.0.0.0/31")],
+        address_sets: vec![set("10.0.0.0/8"), set("10.0.0.0/31")],
         rules: rules.into_iter().enumerate().map(rule).collect(),
     }
 }
@@ -57,11 +58,11 @@
             let message = Message {
                 class: ["a", "b", "c", "d"][class],
                 owner: [None, Some("o"), Some("q")][owner],
-                dest, body, from, minute,
+                dest, body_bytes: body, source: from, minute,
                 headers: &[],
             };
             let name = |rule: Option<&Rule>| rule.map(|r| r.name.clone());
-            prop_assert_eq!(name(router.route(&message)), name(router.scan(&message)));
+            prop_assert_eq!(name(router.route(&message)), name(router.route_by_scan(&message)));
         }
     }
 
@@ -74,7 +75,7 @@
         let four = four.into_iter().map(|(a, len)| IpNet::new(Ipv4Addr::from(a).into(), len).expect("a prefix"));
         let six = six.into_iter().map(|(a, len)| IpNet::new(Ipv6Addr::from(a).into(), len).expect("a prefix"));
         let nets: Vec<IpNet> = four.chain(six).map(|net| net.trunc()).collect();
-        let set: Prefixes = nets.iter().copied().collect();
+        let set: PrefixSet = nets.iter().copied().collect();
         for (chance, near, flip) in asked {
             // Near a prefix, where it matters, or anywhere.
             let address = match nets.get(near.index(nets.len() + 1)).map(IpNet::addr) {
@@ -91,14 +92,14 @@
 #[test]
 fn a_split_keeps_to_its_weights_and_a_new_weight_moves_only_what_it_must() {
     let split = |weights: [u32; 3]| Action::Split {
-        by: Sticky::Key,
-        parts: weights.iter().enumerate().map(|(pool, w)| Part { pool, weight: *w }).collect(),
+        affinity: Affinity::Key,
+        parts: weights.iter().enumerate().map(|(pool, w)| WeightedPool { pool, weight: *w }).collect(),
     };
     let (before, after) = (split([1, 9, 0]), split([2, 9, 0]));
     let (mut first, mut moved) = (0, 0);
     for n in 0..10_000 {
         let key = format!("key-{n}");
-        let (was, is) = (before.pool(&key), after.pool(&key));
+        let (was, is) = (before.select_pool(&key), after.select_pool(&key));
         assert_ne!(is, Some(2), "it has no weight");
         first += usize::from(was == Some(0));
         moved += usize::from(was != is);
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -90,7 +90,7 @@
 ///
 /// The journal or the listener can't be had.
 pub async fn run(config: Config) -> Result<(), RunError> {
-    let layouts = yarrowhill_journal::has_layouts(&config.state)?;
+    let layouts = yarrowhill_journal::has_sharded_layout(&config.state)?;
     #[cfg(feature = "shards")]
     if config.shards > 1 || layouts {
         return crate::sharded::run(config).await;
--- a/crates/yarrowhill/src/routes.rs
+++ b/crates/yarrowhill/src/routes.rs
@@ -4,15 +4,15 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use yarrowhill_routes::{FILE_MOST, Fault, Place, Routes, read};
+use yarrowhill_routes::{Diagnostic, Location, MAX_FILE_BYTES, Routes, parse};
 
 /// Tells what a document holds, or every fault of it.
 pub fn check(path: &Path, json: bool) -> ExitCode {
     let read = read_at(path);
     let faults = read.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if json {
-        let fault = |f: &Fault| {
-            let Fault { place: Place { file, line, column }, what, remedy } = f;
+        let fault = |f: &Diagnostic| {
+            let Diagnostic { location: Location { file, line, column }, problem: what, remedy } = f;
             serde_json::json!({"file": file, "line": line, "column": column, "what": what, "remedy": remedy})
         };
         println!("{}", serde_json::json!({"faults": faults.iter().map(fault).collect::<Vec<_>>()}));
@@ -39,20 +39,24 @@
 /// # Errors
 ///
 /// Every fault of it; also what can't be read. A folder without a fragment is a fault.
-pub fn read_at(path: &Path) -> Result<Routes, Vec<Fault>> {
+pub fn read_at(path: &Path) -> Result<Routes, Vec<Diagnostic>> {
     let files = fragments(path).map_err(|e| vec![unread(path, &e)])?;
     if files.is_empty() {
         let what = "no fragment stands in this folder".to_owned();
-        return Err(vec![Fault { place: whole(path), what, remedy: "add a file that ends in .kdl".into() }]);
+        return Err(vec![Diagnostic {
+            location: whole(path),
+            problem: what,
+            remedy: "add a file that ends in .kdl".into(),
+        }]);
     }
     let texts = files.into_iter().map(|file| text(&file).map(|text| (file.display().to_string(), text)));
     // What stands in the rest can't be judged without the missing part.
     let (texts, missing): (Vec<_>, Vec<_>) = texts.partition(Result::is_ok);
-    let missing: Vec<Fault> = missing.into_iter().filter_map(Result::err).collect();
+    let missing: Vec<Diagnostic> = missing.into_iter().filter_map(Result::err).collect();
     if !missing.is_empty() {
         return Err(missing);
     }
-    read(&texts.into_iter().filter_map(Result::ok).collect::<Vec<_>>())
+    parse(&texts.into_iter().filter_map(Result::ok).collect::<Vec<_>>())
 }
 
 fn fragments(path: &Path) -> io::Result<Vec<PathBuf>> {
@@ -67,23 +71,27 @@
 }
 
 /// A text that is far too long is not taken into memory first.
-fn text(file: &Path) -> Result<String, Fault> {
+fn text(file: &Path) -> Result<String, Diagnostic> {
     let len = fs::metadata(file).map_err(|e| unread(file, &e))?.len();
-    if len > FILE_MOST as u64 {
-        let what = format!("{len} bytes, and {FILE_MOST} are the most");
-        return Err(Fault { place: whole(file), what, remedy: "cut it into fragments".into() });
+    if len > MAX_FILE_BYTES as u64 {
+        let what = format!("{len} bytes, and {MAX_FILE_BYTES} are the most");
+        return Err(Diagnostic {
+            location: whole(file),
+            problem: what,
+            remedy: "cut it into fragments".into(),
+        });
     }
     fs::read_to_string(file).map_err(|e| unread(file, &e))
 }
 
-fn unread(path: &Path, e: &io::Error) -> Fault {
-    Fault {
-        place: whole(path),
-        what: format!("can't be read: {e}"),
+fn unread(path: &Path, e: &io::Error) -> Diagnostic {
+    Diagnostic {
+        location: whole(path),
+        problem: format!("can't be read: {e}"),
         remedy: "see that it is there and is text".into(),
     }
 }
 
-fn whole(path: &Path) -> Place {
-    Place { file: path.display().to_string(), ..Place::default() }
+fn whole(path: &Path) -> Location {
+    Location { file: path.display().to_string(), ..Location::default() }
 }
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -44,9 +44,10 @@
     let watcher = watcher(&config);
     let Sockets { clients, idle } = Sockets::share(&config);
     let journal_limit = (config.limits.disk_mb * JOURNAL_PART) as u64 / shards as u64;
-    let journal = yarrowhill_journal::Options { limit: journal_limit, durability: config.durability };
-    let folders =
-        yarrowhill_journal::segments(&config.state, shards, journal, unix_now(), |d| shard_of(d, shards))?;
+    let journal = yarrowhill_journal::Options { max_bytes: journal_limit, durability: config.durability };
+    let folders = yarrowhill_journal::prepare_segments(&config.state, shards, journal, unix_now(), |d| {
+        shard_of(d, shards)
+    })?;
     let (told, at) = watch::channel(config.discovery);
     let (all_served, served) = watch::channel(false);
     let pool = RoomPool::new(config.settings.open_cap, shards);
--- a/crates/yarrowhill/tests/support/mod.rs
+++ b/crates/yarrowhill/tests/support/mod.rs
@@ -396,7 +396,7 @@
     pub fn fill(&self, messages: u64, left: Duration) {
         let now =
             SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock that is right").as_millis() as u64;
-        let options = Options { limit: 1 << 32, durability: Durability::Process };
+        let options = Options { max_bytes: 1 << 32, durability: Durability::Process };
         let (mut journal, _) = Journal::open(&self.folder.join("state"), options, now).expect("it opens");
         let accepted = |n: u64| Accepted {
             id: format!("open-{n}"),
