--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -1,6 +1,6 @@
 //! Faults that no single line shows: rules that can never match, because an earlier one takes all that they are for.
 
-use crate::fault::Diagnostic;
+use crate::diagnostic::Diagnostic;
 use crate::model::{Condition, Routes};
 use crate::router::Router;
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -23,16 +23,16 @@
 //! ```
 
 mod check;
-mod fault;
+mod diagnostic;
 mod model;
+mod parse;
 mod prefixes;
-mod read;
 mod router;
 
-pub use fault::{Diagnostic, Location};
+pub use diagnostic::{Diagnostic, Location};
 pub use model::{
     Action, AddressSet, Affinity, Condition, Hours, Message, Partner, Pool, Routes, Rule, WeightedPool,
 };
+pub use parse::{MAX_FILE_BYTES, MAX_RULES, parse};
 pub use prefixes::PrefixSet;
-pub use read::{MAX_FILE_BYTES, MAX_RULES, parse};
 pub use router::Router;
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -1,6 +1,6 @@
 //! What a document says, with names resolved.
 
-use crate::fault::Location;
+use crate::diagnostic::Location;
 use ipnet::IpNet;
 use std::net::IpAddr;
 use std::time::Duration;
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/parse.rs
@@ -1,7 +1,7 @@
 //! From KDL to the model: every fault at once, and nothing unless there is none.
 
 use crate::check;
-use crate::fault::{Diagnostic, Location};
+use crate::diagnostic::{Diagnostic, Location};
 use crate::model::{
     Action, AddressSet, Affinity, Condition, Hours, Partner, Pool, Routes, Rule, WeightedPool,
 };
