--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use yarrowhill_fleet::{NEWS_WORDS, TOLD_WORDS, Told, encode_findings, encode_letter, encode_told};
 use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start};
-use yarrowhill_knowledge::{Ended, Judgement, Leave, Newcomer, Outages, Ramp};
-use yarrowhill_rights::{CALL, Letter, Limit, Sharing, Spans};
+use yarrowhill_knowledge::{Admission, CallOutcome, InitialSync, OutageDetector, OutageReport, SlowStart};
+use yarrowhill_rights::{CALL, Envelope, LeaseDurations, Limit, SharedLimits};
 
 /// The probe period that all else follows from (microseconds).
 const PERIOD: Micros = 1_000_000;
@@ -21,7 +21,8 @@
 /// Calls a second that it takes when it is warm.
 const LIMIT: u64 = 600;
 /// How a return goes: a turn of two periods, warm after thirteen seconds, from 0.17 of its capacity.
-const RAMP: Ramp = Ramp { turn: 2 * PERIOD, warm: 13 * PERIOD, start: 0.17 };
+const RAMP: SlowStart =
+    SlowStart { probe_interval: 2 * PERIOD, warm_up: 13 * PERIOD, initial_fraction: 0.17 };
 /// Sent more than this many times what it bears over so long, it falls over.
 const FALL: (f64, Micros) = (2.0, 3 * PERIOD);
 /// A call that is served takes so long, and one that is not is given up after so long (microseconds).
@@ -62,8 +63,8 @@
 
 #[derive(Clone, Debug)]
 enum Msg {
-    Letter(Letter),
-    Findings(Vec<Judgement>),
+    Letter(Envelope),
+    Findings(Vec<OutageReport>),
     Hello,
     Told(Told),
 }
@@ -79,8 +80,8 @@
 
 struct Caller {
     way: Way,
-    sharing: Sharing,
-    outages: Outages,
+    sharing: SharedLimits,
+    outages: OutageDetector,
     alone: Alone,
     view: Vec<u64>,
     me: u64,
@@ -95,7 +96,7 @@
     retry: Micros,
     next_news: Micros,
     /// It has just started: it takes on nothing before it was told what holds, or before this moment.
-    newcomer: Newcomer,
+    newcomer: InitialSync,
     served: u64,
     given_up: u64,
     began: u64,
@@ -115,10 +116,15 @@
         newcomer: bool,
         partner: Rc<RefCell<Partner>>,
     ) -> Self {
-        let mut sharing = Sharing::new(now, me as u64, life, members, Spans::new(PERIOD, DRIFT));
-        sharing.set(now, members, &BTreeMap::from([(DEST, Limit { calls: LIMIT * CALL, lend: true })]));
-        let mut outages = Outages::new(me as u64, life, RAMP);
-        outages.set(life, members);
+        let mut sharing =
+            SharedLimits::new(now, me as u64, life, members, LeaseDurations::new(PERIOD, DRIFT));
+        sharing.set_limits(
+            now,
+            members,
+            &BTreeMap::from([(DEST, Limit { calls: LIMIT * CALL, lend: true })]),
+        );
+        let mut outages = OutageDetector::new(me as u64, life, RAMP);
+        outages.set_membership(life, members);
         Caller {
             way,
             sharing,
@@ -134,7 +140,7 @@
             out: Vec::new(),
             retry: 0,
             next_news: now,
-            newcomer: Newcomer::new(if newcomer { now + 10 * PERIOD } else { 0 }),
+            newcomer: InitialSync::new(if newcomer { now + 10 * PERIOD } else { 0 }),
             served: 0,
             given_up: 0,
             began: 0,
@@ -143,29 +149,29 @@
         }
     }
 
-    fn leave(&mut self, now: Micros) -> Leave {
+    fn leave(&mut self, now: Micros) -> Admission {
         match self.way {
-            Way::Together => self.outages.leave(now, DEST),
+            Way::Together => self.outages.admit(now, DEST),
             Way::Apart => match (&mut self.alone, now) {
-                (Alone { row: 3.., next, .. }, now) if now < *next => Leave::Hold(*next - now),
+                (Alone { row: 3.., next, .. }, now) if now < *next => Admission::Defer(*next - now),
                 (Alone { row: 3.., next, pause, .. }, now) => {
                     *pause = (*pause * 2).clamp(PERIOD, 4 * PERIOD);
                     *next = now + *pause;
-                    Leave::Trial
+                    Admission::Probe
                 }
-                (Alone { back: Some(back), .. }, now) => Leave::Part(RAMP.warmth(now - *back)),
-                _ => Leave::Part(1.0),
+                (Alone { back: Some(back), .. }, now) => Admission::Fraction(RAMP.fraction(now - *back)),
+                _ => Admission::Fraction(1.0),
             },
         }
     }
 
-    fn ended(&mut self, now: Micros, began: Micros, how: Ended) {
-        self.outages.ended(now, DEST, began, how);
+    fn ended(&mut self, now: Micros, began: Micros, how: CallOutcome) {
+        self.outages.record_call_end(now, DEST, began, how);
         match how {
-            Ended::Served if self.alone.row >= 3 => {
+            CallOutcome::Served if self.alone.row >= 3 => {
                 self.alone = Alone { back: Some(now), ..Alone::default() };
             }
-            Ended::Served => self.alone.row = 0,
+            CallOutcome::Served => self.alone.row = 0,
             _ => self.alone.row += 1,
         }
     }
@@ -175,15 +181,19 @@
         for (ends, began, served) in done {
             self.served += u64::from(served);
             self.given_up += u64::from(!served);
-            self.ended(ends.max(began), began, if served { Ended::Served } else { Ended::Failed });
+            self.ended(
+                ends.max(began),
+                began,
+                if served { CallOutcome::Served } else { CallOutcome::Failed },
+            );
         }
         self.next_message = self.next_message.max(now.saturating_sub(PERIOD));
         while self.rate > 0.0 && now >= self.next_message {
             self.next_message += (1e6 / self.rate) as Micros + 1;
-            if !self.newcomer.asks(now) {
+            if !self.newcomer.is_pending(now) {
                 self.waiting.push_back(now + PATIENCE);
                 // Each asks once, also those that wait behind others.
-                self.sharing.asked(now, &[DEST]);
+                self.sharing.record_demand(now, &[DEST]);
             }
         }
         while self.waiting.pop_front_if(|until| *until <= now).is_some() {
@@ -195,23 +205,23 @@
         while !self.waiting.is_empty() && self.out.len() < SLOTS {
             let leave = self.leave(now);
             let part = match leave {
-                Leave::Part(part) => part,
-                Leave::Trial => 1.0,
-                Leave::Hold(wait) => {
+                Admission::Fraction(part) => part,
+                Admission::Probe => 1.0,
+                Admission::Defer(wait) => {
                     self.retry = now + wait.clamp(1000, ROUND);
                     return;
                 }
             };
-            if let Err(wait) = self.sharing.begin(now, &[DEST], part, true) {
-                if leave == Leave::Trial {
-                    self.outages.not_tried(DEST);
+            if let Err(wait) = self.sharing.try_begin(now, &[DEST], part, true) {
+                if leave == Admission::Probe {
+                    self.outages.cancel_probe(DEST);
                 }
                 self.retry = now + wait.clamp(1000, ROUND);
                 return;
             }
             self.waiting.pop_front();
             self.began += 1;
-            self.trials += u64::from(leave == Leave::Trial);
+            self.trials += u64::from(leave == Admission::Probe);
             let mut partner = self.partner.borrow_mut();
             let at = partner.now;
             partner.calls.push(at);
@@ -228,9 +238,9 @@
         }
         self.next_news = now + ROUND;
         let others: Vec<u64> = self.view.iter().copied().filter(|id| *id != self.me).collect();
-        let words = self.outages.words(now, NEWS_WORDS, self.view.len());
+        let words = self.outages.updates_to_send(now, NEWS_WORDS, self.view.len());
         for to in others.sample(&mut self.rng, 3) {
-            if self.newcomer.asks(now) {
+            if self.newcomer.is_pending(now) {
                 self.sends.push((*to as usize, Msg::Hello));
             }
             if !words.is_empty() {
@@ -254,14 +264,14 @@
                 let answer = self.sharing.handle(now, from as u64, &letter);
                 self.sends.extend(answer.map(|answer| (from, Msg::Letter(answer))));
             }
-            Msg::Findings(words) => words.iter().for_each(|word| self.outages.hear(now, word)),
+            Msg::Findings(words) => words.iter().for_each(|word| self.outages.receive(now, word)),
             Msg::Hello => {
-                let parts = Told::parts(&[], &self.outages.all(now, 8 * TOLD_WORDS));
+                let parts = Told::parts(&[], &self.outages.snapshot(now, 8 * TOLD_WORDS));
                 self.sends.extend(parts.into_iter().map(|part| (from, Msg::Told(part))));
             }
             Msg::Told(told) => {
-                told.findings.iter().for_each(|word| self.outages.hear(now, word));
-                self.newcomer.answered(from as u64, told.part, told.parts);
+                told.findings.iter().for_each(|word| self.outages.receive(now, word));
+                self.newcomer.record_part(from as u64, told.part, told.parts);
             }
         }
         self.work(now);
@@ -355,8 +365,10 @@
 fn pushed(calls: &[Micros], back: Micros) -> f64 {
     let (multiple, span) = FALL;
     let bears = |since: f64| {
-        let cold = since.min(RAMP.warm as f64);
-        RAMP.start * cold + (1.0 - RAMP.start) * cold * cold / (2.0 * RAMP.warm as f64) + (since - cold)
+        let cold = since.min(RAMP.warm_up as f64);
+        RAMP.initial_fraction * cold
+            + (1.0 - RAMP.initial_fraction) * cold * cold / (2.0 * RAMP.warm_up as f64)
+            + (since - cold)
     };
     let after: Vec<Micros> = calls.iter().copied().filter(|at| *at >= back).collect();
     let mut most = 0.0f64;
@@ -446,7 +458,7 @@
     let known = down + 6 * PERIOD;
     let tried = world.partner.borrow().calls.iter().filter(|at| (known..back).contains(*at)).count();
     // Two or three a turn where words are lost; and each once that had not heard yet.
-    let may = 3 * members + 3 * ((back - known) / RAMP.turn) as usize;
+    let may = 3 * members + 3 * ((back - known) / RAMP.probe_interval) as usize;
     if tried > may {
         let what = format!("{tried} calls while it was down, {may} may be");
         return Err(Breach { at: world.fleet.now(), what });
--- a/crates/attack/src/rights.rs
+++ b/crates/attack/src/rights.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use yarrowhill_fleet::encode_letter;
 use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start, World};
-use yarrowhill_rights::{CALL, Holder, Keeper, Letter, Limit, Sharing, Spans, Want};
+use yarrowhill_rights::{CALL, Coordinator, Envelope, Holder, LeaseDurations, Limit, Request, SharedLimits};
 
 /// A member that lends, others that borrow, and two keepers that know nothing of each other. Anything may happen that the
 /// assumptions allow: what was asked long ago is answered now, answers are lost, members and keepers start again with
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RightsState {
     holders: Vec<Holder>,
-    keepers: Vec<Keeper>,
+    keepers: Vec<Coordinator>,
 }
 
 /// A step of it.
@@ -80,8 +80,8 @@
 }
 
 impl RightsWorld {
-    fn spans(&self) -> Spans {
-        Spans::new(self.grant, self.drift)
+    fn spans(&self) -> LeaseDurations {
+        LeaseDurations::new(self.grant, self.drift)
     }
 
     fn limit(&self) -> u64 {
@@ -100,7 +100,7 @@
     fn begins(&self) -> Vec<RightsState> {
         // All have run for long.
         let holder = Holder::new(0, self.spans(), FLOOR).rebased(NOW, 0);
-        let keeper = Keeper::new(0, self.spans()).rebased(NOW, 0);
+        let keeper = Coordinator::new(0, self.spans()).rebased(NOW, 0);
         vec![RightsState { holders: vec![holder; 1 + self.borrowers], keepers: vec![keeper; 2] }]
     }
 
@@ -128,32 +128,37 @@
                     *holder = holder.rebased(NOW, self.rate(n));
                 }
                 for (n, keeper) in next.keepers.iter_mut().enumerate() {
-                    *keeper = keeper.rebased(NOW, self.keepers[n]).without_wants();
+                    *keeper = keeper.rebased(NOW, self.keepers[n]).without_requests();
                 }
             }
             RightsStep::Lend { keeper, demand, age, comes } => {
                 let asked = NOW - age * self.keepers[keeper];
-                let want = next.holders[LENDER].want(NOW, keeper as u64, demand, Some(asked));
+                let want = next.holders[LENDER].request(NOW, keeper as u64, demand, Some(asked));
                 next.holders[LENDER] = next.holders[LENDER].rebased(NOW, 0);
                 if comes {
-                    next.keepers[keeper].want(NOW, LENDER as u64, &Want { more: 0, ..want }, spans);
-                    next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_wants();
+                    next.keepers[keeper].handle_request(
+                        NOW,
+                        LENDER as u64,
+                        &Request { extra: 0, ..want },
+                        spans,
+                    );
+                    next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_requests();
                 }
             }
             RightsStep::Borrow { member, keeper, age, comes } => {
                 let at = NOW - age * self.rate(member);
-                let want = Want { at, more: self.limit(), offer: None };
-                let grant = next.keepers[keeper].want(NOW, member as u64, &want, spans);
-                next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_wants();
+                let want = Request { sent_at: at, extra: self.limit(), offer: None };
+                let grant = next.keepers[keeper].handle_request(NOW, member as u64, &want, spans);
+                next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_requests();
                 if comes {
-                    next.holders[member].granted(NOW, keeper as u64, &grant);
+                    next.holders[member].apply_grant(NOW, keeper as u64, &grant);
                     next.holders[member] = next.holders[member].rebased(NOW, 0);
                 }
             }
             RightsStep::Restart(member) => {
                 next.holders[member] = Holder::new(NOW, spans, FLOOR).rebased(NOW, 0);
             }
-            RightsStep::Forget(keeper) => next.keepers[keeper] = Keeper::new(NOW, spans),
+            RightsStep::Forget(keeper) => next.keepers[keeper] = Coordinator::new(NOW, spans),
         }
         next
     }
@@ -188,7 +193,7 @@
 
 /// A member of a fleet that shares a limit, with calls to make.
 struct Sharer {
-    sharing: Sharing,
+    sharing: SharedLimits,
     /// Whom it takes to be there.
     view: Vec<u64>,
     /// Calls that come to it (a second).
@@ -201,14 +206,14 @@
     /// Calls that came and that began.
     came: u64,
     begun: u64,
-    out: Vec<(usize, Letter)>,
+    out: Vec<(usize, Envelope)>,
 }
 
 impl Sharer {
     fn new(me: usize, now: Micros, members: usize, limit: Limit, rate: f64, life: u64) -> Self {
-        let spans = Spans::new(GRANT, DRIFT);
-        let mut sharing = Sharing::new(now, me as u64, life, members, spans);
-        sharing.set(now, members, &BTreeMap::from([(DEST, limit)]));
+        let spans = LeaseDurations::new(GRANT, DRIFT);
+        let mut sharing = SharedLimits::new(now, me as u64, life, members, spans);
+        sharing.set_limits(now, members, &BTreeMap::from([(DEST, limit)]));
         let view = (0..members as u64).collect();
         let (next_call, waiting, out) = (now + (me as u64 * 7919) % GRANT, VecDeque::new(), Vec::new());
         Sharer { sharing, view, rate, next_call, waiting, retry: 0, came: 0, begun: 0, out }
@@ -217,7 +222,7 @@
     fn call(&mut self, now: Micros) {
         self.waiting.retain(|until| now < *until);
         while !self.waiting.is_empty() {
-            if let Err(wait) = self.sharing.begin(now, &[DEST], 1.0, true) {
+            if let Err(wait) = self.sharing.try_begin(now, &[DEST], 1.0, true) {
                 self.retry = now + wait.max(1000);
                 break;
             }
@@ -229,7 +234,7 @@
         while self.rate > 0.0 && now >= self.next_call {
             self.next_call += (1e6 / self.rate) as Micros + 1;
             self.came += 1;
-            match self.sharing.begin(now, &[DEST], 1.0, false) {
+            match self.sharing.try_begin(now, &[DEST], 1.0, false) {
                 Ok(()) => self.begun += 1,
                 Err(wait) => {
                     self.retry = now + wait.max(1000);
@@ -246,20 +251,20 @@
 }
 
 impl Member for Sharer {
-    type Packet = Letter;
+    type Packet = Envelope;
 
     fn tick(&mut self, now: Micros) {
         self.call(now);
         self.say(now);
     }
 
-    fn handle(&mut self, now: Micros, from: usize, letter: Letter) {
+    fn handle(&mut self, now: Micros, from: usize, letter: Envelope) {
         let answer = self.sharing.handle(now, from as u64, &letter);
         self.out.extend(answer.map(|answer| (from, answer)));
         self.call(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Letter)> {
+    fn sends(&mut self) -> Vec<(usize, Envelope)> {
         std::mem::take(&mut self.out)
     }
 
@@ -270,7 +275,7 @@
     }
 }
 
-fn size(letter: &Letter) -> usize {
+fn size(letter: &Envelope) -> usize {
     encode_letter(letter).map_or(usize::MAX, |bytes| bytes.len())
 }
 
@@ -349,7 +354,7 @@
                 goes_by[one] = LIMIT / rng.random_range(1..20);
                 let (now, told) = (fleet.clock(one), limit(goes_by[one], Even::Rights));
                 let limits = BTreeMap::from([(DEST, told)]);
-                fleet.member_mut(one).into_iter().for_each(|m| m.sharing.set(now, members, &limits));
+                fleet.member_mut(one).into_iter().for_each(|m| m.sharing.set_limits(now, members, &limits));
             }
             _ => {}
         }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -4,8 +4,8 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use yarrowhill_duties as duties;
-use yarrowhill_knowledge::{Judgement, WaitWord};
-use yarrowhill_rights::Letter;
+use yarrowhill_knowledge::{OutageReport, WaitReport};
+use yarrowhill_rights::Envelope;
 
 /// No UDP packet is longer (bytes): it fits a frame of Ethernet with room for tunnels.
 pub const PACKET_MOST: usize = 1400;
@@ -34,7 +34,7 @@
     /// The sender has just started, and wants to hear all that still holds.
     pub hello: bool,
     /// At most [`NEWS_WORDS`].
-    pub words: Vec<WaitWord>,
+    pub words: Vec<WaitReport>,
 }
 
 /// A part of what one that has just started is told.
@@ -45,14 +45,14 @@
     /// of how many.
     pub parts: u8,
     /// Waits, at most [`TOLD_WORDS`].
-    pub waits: Vec<WaitWord>,
+    pub waits: Vec<WaitReport>,
     /// Findings, at most [`TOLD_WORDS`].
-    pub findings: Vec<Judgement>,
+    pub findings: Vec<OutageReport>,
 }
 
 impl Told {
     /// All parts: one at least, since that nothing holds is to be told too.
-    pub fn parts(waits: &[WaitWord], findings: &[Judgement]) -> Vec<Told> {
+    pub fn parts(waits: &[WaitReport], findings: &[OutageReport]) -> Vec<Told> {
         let parts = waits.len().max(findings.len()).div_ceil(TOLD_WORDS).clamp(1, usize::from(u8::MAX));
         let some = |n: usize, len: usize| (n * TOLD_WORDS).min(len)..((n + 1) * TOLD_WORDS).min(len);
         let part = |n: usize| Told {
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// It is too long.
-pub fn encode_letter(letter: &Letter) -> Result<Vec<u8>, CodecError> {
+pub fn encode_letter(letter: &Envelope) -> Result<Vec<u8>, CodecError> {
     encode_behind(&RIGHTS_MARK, letter, PACKET_MOST)
 }
 
@@ -116,7 +116,7 @@
 /// # Errors
 ///
 /// They are too long.
-pub fn encode_findings(findings: &[Judgement]) -> Result<Vec<u8>, CodecError> {
+pub fn encode_findings(findings: &[OutageReport]) -> Result<Vec<u8>, CodecError> {
     encode_behind(&FINDINGS_MARK, &findings, PACKET_MOST)
 }
 
@@ -176,7 +176,7 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_findings(bytes: &[u8]) -> Result<Vec<Judgement>, CodecError> {
+pub fn decode_findings(bytes: &[u8]) -> Result<Vec<OutageReport>, CodecError> {
     decode_behind(&FINDINGS_MARK, bytes, PACKET_MOST)
 }
 
@@ -204,7 +204,7 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_letter(bytes: &[u8]) -> Result<Letter, CodecError> {
+pub fn decode_letter(bytes: &[u8]) -> Result<Envelope, CodecError> {
     decode_behind(&RIGHTS_MARK, bytes, PACKET_MOST)
 }
 
@@ -230,7 +230,7 @@
     use super::*;
     use proptest::prelude::*;
     use yarrowhill_membership::*;
-    use yarrowhill_rights::{Offer, WORDS_MOST, Want, Word};
+    use yarrowhill_rights::{MAX_PAYLOADS, Offer, Payload, Request};
 
     fn largest() -> Packet {
         let inc = Incarnation { boot: u64::MAX, round: u64::MAX };
@@ -259,22 +259,23 @@
 
     #[test]
     fn the_largest_letter_fits_and_comes_back() {
-        let offer = Some(Offer { asked: u64::MAX, amount: u64::MAX });
-        let want = Want { at: u64::MAX, more: u64::MAX, offer };
-        let words = vec![Word::Want(u64::MAX, want); WORDS_MOST];
-        let letter = Letter { life: u64::MAX, to: Some(u64::MAX), words };
+        let offer = Some(Offer { asked_at: u64::MAX, amount: u64::MAX });
+        let want = Request { sent_at: u64::MAX, extra: u64::MAX, offer };
+        let words = vec![Payload::Request(u64::MAX, want); MAX_PAYLOADS];
+        let letter = Envelope { life: u64::MAX, to_life: Some(u64::MAX), payloads: words };
         let bytes = encode_letter(&letter).expect("fits");
         assert!(is_letter(&bytes) && decode::<Packet>(&bytes, PACKET_MOST) == Err(CodecError::Version));
         assert_eq!(decode_letter(&bytes), Ok(letter));
         assert_eq!(decode_letter(&bytes[..90]), Err(CodecError::Spoilt));
         let most = u64::MAX;
-        let word = WaitWord { dest: most, origin: most, order: (most, most), left: most };
+        let word = WaitReport { dest: most, origin: most, version: (most, most), remaining: most };
         let news = News { hello: true, words: vec![word; NEWS_WORDS] };
         let bytes = encode_news(&news).expect("fits");
         assert!(is_news(&bytes) && !is_letter(&bytes));
         assert_eq!(decode_news(&bytes), Ok(news));
-        let finding = yarrowhill_knowledge::Finding::Back(most);
-        let findings = vec![Judgement { dest: most, origin: most, order: (most, most), finding }; NEWS_WORDS];
+        let finding = yarrowhill_knowledge::Finding::Recovered(most);
+        let findings =
+            vec![OutageReport { dest: most, origin: most, version: (most, most), finding }; NEWS_WORDS];
         let bytes = encode_findings(&findings).expect("fits");
         assert!(is_findings(&bytes) && !is_news(&bytes));
         assert_eq!(decode_findings(&bytes), Ok(findings.clone()));
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use yarrowhill_duties::{DUTIES_MOST, Duty};
 use yarrowhill_membership::{MEMBERS_MOST, MemberId, Roster, Seat, Timing};
-use yarrowhill_rights::{CALL, Limit, further_attempts};
+use yarrowhill_rights::{CALL, Limit, retry_limit_id};
 
 /// The longest document (bytes).
 const LONGEST: usize = 1 << 20;
@@ -193,11 +193,11 @@
         let at = node.span().offset();
         let dest = node.get(0).and_then(KdlValue::as_integer).and_then(|n| u64::try_from(n).ok());
         // The upper half of all numbers stands for attempts beyond the first.
-        let Some(dest) = dest.filter(|dest| further_attempts(*dest) != *dest) else {
+        let Some(dest) = dest.filter(|dest| retry_limit_id(*dest) != *dest) else {
             return self.fault(at, "a limit without its destination", "`limit DESTINATION calls=N`");
         };
         let mut any = false;
-        for (name, number) in [("calls", dest), ("further", further_attempts(dest))] {
+        for (name, number) in [("calls", dest), ("further", retry_limit_id(dest))] {
             let Some(value) = node.get(name) else { continue };
             any = true;
             let calls = value.as_integer().map(|n| n as f64).or_else(|| value.as_float());
@@ -364,7 +364,7 @@
             |limits: &str| format!("fleet version=1 {{ member \"n0\" address=\"127.0.0.1:7\"\n{limits}\n}}");
         let read = read("f", &text("limit 7 calls=10 further=1.5\nlimit 8 further=2"), "n0").expect("sound");
         let calls: Vec<(u64, u64)> = read.limits.iter().map(|(n, l)| (*n, l.calls)).collect();
-        let further = [7, 8].map(further_attempts);
+        let further = [7, 8].map(retry_limit_id);
         assert_eq!(calls, [(7, 10 * CALL), (further[0], 3 * CALL / 2), (further[1], 2 * CALL)]);
         for (limit, told) in [
             ("limit 7", "without its calls"),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -33,5 +33,5 @@
     NamedOutage, Status,
 };
 pub use yarrowhill_duties::{Held, StepError, Vote, Wish, WishError};
-pub use yarrowhill_knowledge::{Ended, Ramp};
+pub use yarrowhill_knowledge::{CallOutcome, SlowStart};
 pub use yarrowhill_rights::{LimitStatus, Refusals};
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -24,12 +24,14 @@
 use yarrowhill_duties::{
     self as duties, Candidate, Duties, Electorate, Held, Reason, StepError, Wish, WishError,
 };
-use yarrowhill_knowledge::{Ended, Judgement, Knowledge, Leave, Newcomer, Outages, Ramp, WaitWord};
+use yarrowhill_knowledge::{
+    Admission, CallOutcome, InitialSync, OutageDetector, OutageReport, SlowStart, WaitReport, WaitTable,
+};
 use yarrowhill_membership::{
     Event, Health, Life, MemberId, Membership, Micros, Output, Packet, Permits, Roster, RosterError,
     Standing, Whole,
 };
-use yarrowhill_rights::{Letter, Sharing, Spans, further_attempts};
+use yarrowhill_rights::{Envelope, LeaseDurations, SharedLimits, retry_limit_id};
 
 /// Clock rates are held to be right within this part of 1.
 const DRIFT: f64 = 0.01;
@@ -42,7 +44,7 @@
 /// Packets in which one that has just started is told what holds.
 const TOLD_PACKETS: usize = 8;
 /// Where outages are nobody's matter.
-const NO_RAMP: Ramp = Ramp { turn: 1, warm: 1, start: 1.0 };
+const NO_RAMP: SlowStart = SlowStart { probe_interval: 1, warm_up: 1, initial_fraction: 1.0 };
 /// Terms whose end is remembered.
 const HISTORY_MOST: usize = 64;
 /// After a failure of a socket or of the disk.
@@ -77,21 +79,21 @@
     /// For random numbers.
     pub seed: u64,
     /// How destinations come back after an outage. None: nothing is told of outages, and each goes by its own.
-    pub ramp: Option<Ramp>,
+    pub ramp: Option<SlowStart>,
 }
 
 struct Shared {
     core: Mutex<Membership>,
-    sharing: Mutex<Sharing>,
-    knowledge: Mutex<Knowledge>,
-    outages: Mutex<Outages>,
+    sharing: Mutex<SharedLimits>,
+    knowledge: Mutex<WaitTable>,
+    outages: Mutex<OutageDetector>,
     duties: Mutex<Duties>,
     /// How terms went lately, by duty.
     history: Mutex<VecDeque<(u64, String)>>,
     /// Whether outages are told on, and kept.
     judges: bool,
     /// It asks the others for what holds, until somebody has told it all.
-    newcomer: Mutex<Newcomer>,
+    newcomer: Mutex<InitialSync>,
     addresses: Mutex<BTreeMap<MemberId, SocketAddr>>,
     /// Something is to be sent, or a timer has changed.
     stir: Notify,
@@ -115,19 +117,19 @@
         self.core().permits(clock::now())
     }
 
-    fn sharing(&self) -> MutexGuard<'_, Sharing> {
+    fn sharing(&self) -> MutexGuard<'_, SharedLimits> {
         self.0.sharing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn knowledge(&self) -> MutexGuard<'_, Knowledge> {
+    fn knowledge(&self) -> MutexGuard<'_, WaitTable> {
         self.0.knowledge.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn newcomer(&self) -> MutexGuard<'_, Newcomer> {
+    fn newcomer(&self) -> MutexGuard<'_, InitialSync> {
         self.0.newcomer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn outages(&self) -> MutexGuard<'_, Outages> {
+    fn outages(&self) -> MutexGuard<'_, OutageDetector> {
         self.0.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -140,28 +142,28 @@
     /// It is to be held back.
     pub fn begin(&self, dest: u64, further: bool, again: bool) -> Result<(), Duration> {
         let now = clock::now();
-        let limits = [dest, further_attempts(dest)];
+        let limits = [dest, retry_limit_id(dest)];
         let limits = &limits[..1 + usize::from(further)];
         let wait = self.knowledge().wait(now, dest);
         let leave = match wait {
-            Some(wait) => Leave::Hold(wait),
-            None if self.0.judges => self.outages().leave(now, dest),
-            None => Leave::Part(1.0),
+            Some(wait) => Admission::Defer(wait),
+            None if self.0.judges => self.outages().admit(now, dest),
+            None => Admission::Fraction(1.0),
         };
         let part = match leave {
-            Leave::Part(part) => part,
-            Leave::Trial => 1.0,
-            Leave::Hold(wait) => {
+            Admission::Fraction(part) => part,
+            Admission::Probe => 1.0,
+            Admission::Defer(wait) => {
                 if !again {
-                    self.sharing().asked(now, limits);
+                    self.sharing().record_demand(now, limits);
                 }
                 return Err(Duration::from_micros(wait));
             }
         };
-        let held = self.sharing().begin(now, limits, part, again);
+        let held = self.sharing().try_begin(now, limits, part, again);
         if held.is_err() {
-            if leave == Leave::Trial {
-                self.outages().not_tried(dest);
+            if leave == Admission::Probe {
+                self.outages().cancel_probe(dest);
             }
             if !again {
                 self.0.stir.notify_one();
@@ -173,24 +175,24 @@
     /// A destination told this forwarder to wait.
     pub fn told_wait(&self, dest: u64, span: Duration) {
         let (now, span) = (clock::now(), Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX));
-        self.knowledge().told_wait(now, dest, span);
+        self.knowledge().record_wait(now, dest, span);
         if self.0.judges {
-            self.outages().shut(now, dest, now.saturating_add(span));
+            self.outages().record_shutdown(now, dest, now.saturating_add(span));
         }
         self.0.stir.notify_one();
     }
 
     /// A call has ended that began so long ago.
-    pub fn ended(&self, dest: u64, took: Duration, how: Ended) {
+    pub fn ended(&self, dest: u64, took: Duration, how: CallOutcome) {
         let now = clock::now();
         let began = now.saturating_sub(Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX));
-        if how == Ended::Served {
-            self.knowledge().served(now, dest, began);
+        if how == CallOutcome::Served {
+            self.knowledge().record_success(now, dest, began);
         }
         if self.0.judges {
             let mut outages = self.outages();
-            outages.ended(now, dest, began, how);
-            let news = outages.has_news(now);
+            outages.record_call_end(now, dest, began, how);
+            let news = outages.has_updates(now);
             drop(outages);
             // What changes nothing wakes nobody.
             if news {
@@ -251,7 +253,7 @@
     /// What is known of destinations.
     pub fn destinations(&self) -> KnowledgeStatus {
         let (roster, now) = (self.roster(), clock::now());
-        let newcomer = self.newcomer().asks(now);
+        let newcomer = self.newcomer().is_pending(now);
         KnowledgeStatus::of(&self.knowledge(), &self.outages(), now, &roster, newcomer)
     }
 
@@ -283,7 +285,7 @@
         if document.roster.reference() != core.roster().reference() {
             core.change_roster(clock::now(), document.roster)?;
         }
-        self.sharing().set(clock::now(), core.roster().len(), &document.limits);
+        self.sharing().set_limits(clock::now(), core.roster().len(), &document.limits);
         self.duties().set_voters(clock::now(), electorate(core.roster()));
         *self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner) = document.addresses;
         self.0.stir.notify_one();
@@ -385,24 +387,24 @@
         let life = Life(getrandom::u64().map_err(|e| FleetError::Chance(e.to_string()))?);
         let senders = watch::Sender::new(roster.len());
         let (now, members) = (clock::now(), roster.len());
-        let spans = Spans::new(timing.period, DRIFT);
-        let mut sharing = Sharing::new(now, MemberId::of(name).0, life.0, members, spans);
-        sharing.set(now, members, &limits);
+        let spans = LeaseDurations::new(timing.period, DRIFT);
+        let mut sharing = SharedLimits::new(now, MemberId::of(name).0, life.0, members, spans);
+        sharing.set_limits(now, members, &limits);
         let (registers, found) = RegisterFile::open(state);
         let me = duties::Life { member: MemberId::of(name).0, life: life.0 };
         let lease = duties::Lease::new(timing.lease, DRIFT);
         let duties = Duties::new(now, me, boot, lease, found, duties, electorate(&roster));
         let core = Membership::new(now, roster, name, boot, life, timing, seed)?;
-        let round = spans.round();
+        let round = spans.round_interval();
         let handle = Handle(Arc::new(Shared {
             core: Mutex::new(core),
             sharing: Mutex::new(sharing),
-            knowledge: Mutex::new(Knowledge::new(MemberId::of(name).0, boot, seed ^ life.0)),
-            outages: Mutex::new(Outages::new(MemberId::of(name).0, boot, ramp.unwrap_or(NO_RAMP))),
+            knowledge: Mutex::new(WaitTable::new(MemberId::of(name).0, boot, seed ^ life.0)),
+            outages: Mutex::new(OutageDetector::new(MemberId::of(name).0, boot, ramp.unwrap_or(NO_RAMP))),
             judges: ramp.is_some(),
             duties: Mutex::new(duties),
             history: Mutex::default(),
-            newcomer: Mutex::new(Newcomer::new(now + timing.settle_most)),
+            newcomer: Mutex::new(InitialSync::new(now + timing.settle_most)),
             addresses: Mutex::new(addresses),
             stir: Notify::new(),
             senders,
@@ -645,12 +647,14 @@
     }
 
     fn is_newcomer(&self) -> bool {
-        self.handle.newcomer().asks(clock::now())
+        self.handle.newcomer().is_pending(clock::now())
     }
 
     fn has_news(&self) -> bool {
         let now = clock::now();
-        self.is_newcomer() || self.handle.knowledge().has_news(now) || self.handle.outages().has_news(now)
+        self.is_newcomer()
+            || self.handle.knowledge().has_updates(now)
+            || self.handle.outages().has_updates(now)
     }
 
     /// Passes on what is fresh, to a few of those that are there; one that has just started asks them for all.
@@ -672,12 +676,12 @@
         let (peers, words) = {
             let mut knowledge = self.handle.knowledge();
             knowledge.set_boot(boot);
-            (knowledge.peers(&there), knowledge.words(now, NEWS_WORDS, there.len() + 1))
+            (knowledge.sample_peers(&there), knowledge.updates_to_send(now, NEWS_WORDS, there.len() + 1))
         };
         let findings = {
             let mut outages = self.handle.outages();
-            outages.set(boot, there.len() + 1);
-            outages.words(now, NEWS_WORDS, there.len() + 1)
+            outages.set_membership(boot, there.len() + 1);
+            outages.updates_to_send(now, NEWS_WORDS, there.len() + 1)
         };
         let news = News { hello: self.is_newcomer(), words };
         for to in peers {
@@ -690,7 +694,7 @@
         }
     }
 
-    async fn send_findings(&self, to: MemberId, findings: &[Judgement]) {
+    async fn send_findings(&self, to: MemberId, findings: &[OutageReport]) {
         self.put(to, encode_findings(findings)).await;
     }
 
@@ -705,30 +709,30 @@
         }
     }
 
-    fn heard_waits(&self, words: &[WaitWord]) {
+    fn heard_waits(&self, words: &[WaitReport]) {
         let now = clock::now();
         let mut knowledge = self.handle.knowledge();
         for word in words.iter().take(NEWS_WORDS) {
-            knowledge.hear(now, word);
+            knowledge.receive(now, word);
             if let Some(wait) = knowledge.wait(now, word.dest).filter(|_| self.handle.0.judges) {
-                self.handle.outages().shut(now, word.dest, now.saturating_add(wait));
+                self.handle.outages().record_shutdown(now, word.dest, now.saturating_add(wait));
             }
         }
     }
 
-    fn heard_findings(&self, findings: &[Judgement]) {
+    fn heard_findings(&self, findings: &[OutageReport]) {
         if self.handle.0.judges {
             let now = clock::now();
             let mut outages = self.handle.outages();
-            findings.iter().take(NEWS_WORDS).for_each(|word| outages.hear(now, word));
+            findings.iter().take(NEWS_WORDS).for_each(|word| outages.receive(now, word));
         }
     }
 
     /// Everything that holds, for one that has just started.
     async fn tell_all(&self, to: MemberId) {
         let (now, most) = (clock::now(), TOLD_WORDS * TOLD_PACKETS);
-        let waits = self.handle.knowledge().all(now, most);
-        let findings = self.handle.outages().all(now, most);
+        let waits = self.handle.knowledge().snapshot(now, most);
+        let findings = self.handle.outages().snapshot(now, most);
         for part in Told::parts(&waits, &findings) {
             self.put(to, encode_told(&part)).await;
         }
@@ -739,10 +743,10 @@
     fn told(&self, from: MemberId, told: &Told) {
         self.heard_waits(&told.waits);
         self.heard_findings(&told.findings);
-        self.handle.newcomer().answered(from.0, told.part, told.parts);
+        self.handle.newcomer().record_part(from.0, told.part, told.parts);
     }
 
-    async fn post(&self, to: MemberId, letter: &Letter) {
+    async fn post(&self, to: MemberId, letter: &Envelope) {
         self.put(to, encode_letter(letter)).await;
     }
 
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use yarrowhill_duties::{Duties, DutyStatus, Vote};
-use yarrowhill_knowledge::{Knowledge, Known, Outage, Outages};
+use yarrowhill_knowledge::{KnownWait, Outage, OutageDetector, WaitTable};
 use yarrowhill_membership::{Health, MemberId, Membership, Micros, Permits, Refused, Roster, Standing};
-use yarrowhill_rights::{LimitStatus, Refusals, Sharing};
+use yarrowhill_rights::{LimitStatus, Refusals, SharedLimits};
 
 /// A member as this forwarder knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -144,9 +144,9 @@
 
 impl LimitsStatus {
     /// What a member knows at a moment.
-    pub fn of(sharing: &Sharing, now: Micros, roster: &Roster) -> Self {
+    pub fn of(sharing: &SharedLimits, now: Micros, roster: &Roster) -> Self {
         let named = |limit: LimitStatus| {
-            let name = limit.keeper.and_then(|id| roster.name(MemberId(id)));
+            let name = limit.coordinator.and_then(|id| roster.name(MemberId(id)));
             NamedLimit { keeper_name: name.map(str::to_owned), limit }
         };
         let limits = sharing.status(now).into_iter().map(named).collect();
@@ -159,7 +159,7 @@
 pub struct NamedKnown {
     /// What is known.
     #[serde(flatten)]
-    pub known: Known,
+    pub known: KnownWait,
     /// Who was told.
     pub origin_name: Option<String>,
 }
@@ -251,25 +251,25 @@
 impl KnowledgeStatus {
     /// What a member knows at a moment.
     pub fn of(
-        knowledge: &Knowledge,
-        outages: &Outages,
+        knowledge: &WaitTable,
+        outages: &OutageDetector,
         now: Micros,
         roster: &Roster,
         newcomer: bool,
     ) -> Self {
-        let named = |known: Known| {
+        let named = |known: KnownWait| {
             let origin_name = roster.name(MemberId(known.origin)).map(str::to_owned);
             NamedKnown { known, origin_name }
         };
-        let waits = knowledge.known(now).into_iter().map(named).collect();
+        let waits = knowledge.status(now).into_iter().map(named).collect();
         let name = |id: u64| roster.name(MemberId(id)).unwrap_or("?").to_owned();
         let named = |outage: Outage| NamedOutage {
-            found_names: outage.found.iter().map(|(id, _)| name(*id)).collect(),
-            tries_name: outage.tries.map(name),
+            found_names: outage.reporters.iter().map(|(id, _)| name(*id)).collect(),
+            tries_name: outage.prober.map(name),
             outage,
         };
-        let outages_now = outages.known(now).into_iter().map(named).collect();
-        let refused = knowledge.refused() + outages.refused();
+        let outages_now = outages.status(now).into_iter().map(named).collect();
+        let refused = knowledge.rejected() + outages.rejected();
         KnowledgeStatus { version: 1, at: now, waits, outages: outages_now, newcomer, refused }
     }
 }
--- a/crates/knowledge/src/credit.rs
+++ b/crates/knowledge/src/credit.rs
@@ -4,9 +4,9 @@
 
 /// What an origin's word alone may hold a destination back at a time (microseconds): as long as the longest wait that is
 /// believed of a destination itself.
-pub const CREDIT_MOST: Micros = 60_000_000;
+pub const MAX_CREDIT: Micros = 60_000_000;
 /// It comes back at one in so many of the time that passes.
-pub const CREDIT_PART: u64 = 4;
+pub const CREDIT_REFILL_DIVISOR: u64 = 4;
 
 /// An origin's credit about a destination. It is spent while its word holds the destination back, and comes back slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,12 +18,12 @@
 impl Credit {
     /// All of it.
     pub fn new(now: Micros) -> Self {
-        Credit { left: CREDIT_MOST, at: now }
+        Credit { left: MAX_CREDIT, at: now }
     }
 
     /// What is left at a moment at which nothing is held back.
-    pub fn left(&self, now: Micros) -> Micros {
-        self.left.saturating_add(now.saturating_sub(self.at) / CREDIT_PART).min(CREDIT_MOST)
+    pub fn available(&self, now: Micros) -> Micros {
+        self.left.saturating_add(now.saturating_sub(self.at) / CREDIT_REFILL_DIVISOR).min(MAX_CREDIT)
     }
 
     /// A word holds until `until` from now on, in place of one that held until `before`: how long it may.
@@ -32,7 +32,8 @@
         let unused = before.saturating_sub(now);
         let held = before.min(now).saturating_sub(self.at);
         let since = now.saturating_sub(self.at).saturating_sub(held);
-        let left = self.left.saturating_add(unused).saturating_add(since / CREDIT_PART).min(CREDIT_MOST);
+        let left =
+            self.left.saturating_add(unused).saturating_add(since / CREDIT_REFILL_DIVISOR).min(MAX_CREDIT);
         let span = until.saturating_sub(now).min(left);
         (self.left, self.at) = (left - span, now);
         now + span
@@ -61,7 +62,7 @@
             }
             held += until.saturating_sub(now);
             let end = now.max(until);
-            prop_assert!(held <= CREDIT_MOST + (end - start) / CREDIT_PART + 60, "{held} of {}", end - start);
+            prop_assert!(held <= MAX_CREDIT + (end - start) / CREDIT_REFILL_DIVISOR + 60, "{held} of {}", end - start);
         }
     }
 }
--- a/crates/knowledge/src/findings.rs
+++ b/crates/knowledge/src/findings.rs
@@ -12,14 +12,14 @@
     /// All of its calls failed over a span; the last of them began so long ago (microseconds).
     Down(Micros),
     /// After that one was served: it is back since so long ago (microseconds).
-    Back(Micros),
+    Recovered(Micros),
 }
 
 impl Finding {
     /// How long ago the last call that it rests on began, or the destination was seen to be back (microseconds).
     pub fn age(self) -> Micros {
         match self {
-            Finding::Down(age) | Finding::Back(age) => age,
+            Finding::Down(age) | Finding::Recovered(age) => age,
         }
     }
 
@@ -27,27 +27,27 @@
     pub(crate) fn aged(self, by: Micros) -> Self {
         match self {
             Finding::Down(age) => Finding::Down(age.saturating_add(by)),
-            Finding::Back(age) => Finding::Back(age.saturating_add(by)),
+            Finding::Recovered(age) => Finding::Recovered(age.saturating_add(by)),
         }
     }
 }
 
 /// One origin's word about one destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Judgement {
+pub struct OutageReport {
     /// The destination.
     pub dest: u64,
     /// Whose calls.
     pub origin: u64,
     /// The origin's boot, and its count of words under that.
-    pub order: (u64, u64),
+    pub version: (u64, u64),
     /// What they showed.
     pub finding: Finding,
 }
 
 /// How a call to a destination ended, as far as it says anything of the destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// It was served.
     Served,
     /// It was refused for a limit: somebody lives there.
@@ -69,17 +69,17 @@
 
 impl Own {
     /// A call has ended that began at a moment.
-    pub(crate) fn ended(&mut self, began: Micros, how: Ended) {
+    pub(crate) fn ended(&mut self, began: Micros, how: CallOutcome) {
         match how {
-            Ended::Served => {
+            CallOutcome::Served => {
                 self.served = Some(self.served.map_or(began, |last| last.max(began)));
                 self.failed = 0;
             }
             // Answered, but not served: it ends no row, since a door that is shut refuses too.
-            Ended::Refused => {}
+            CallOutcome::Refused => {}
             // Of calls that were out together those that were served count: what is slow is not down.
-            Ended::Failed if self.served.is_some_and(|served| began < served) => {}
-            Ended::Failed => {
+            CallOutcome::Failed if self.served.is_some_and(|served| began < served) => {}
+            CallOutcome::Failed => {
                 if self.failed == 0 {
                     (self.first, self.last) = (began, began);
                 }
@@ -115,16 +115,16 @@
     #[test]
     fn a_row_must_be_long_in_calls_and_in_time() {
         let mut own = Own::default();
-        (0..50).for_each(|n| own.ended(n, Ended::Failed));
+        (0..50).for_each(|n| own.ended(n, CallOutcome::Failed));
         assert_eq!(own.down(100), None, "all within a moment");
-        own.ended(200, Ended::Failed);
+        own.ended(200, CallOutcome::Failed);
         assert_eq!(own.down(100), Some(200));
-        own.ended(210, Ended::Refused);
+        own.ended(210, CallOutcome::Refused);
         assert_eq!(own.down(100), Some(200));
-        own.ended(220, Ended::Served);
+        own.ended(220, CallOutcome::Served);
         assert_eq!(own.down(100), None);
         // One that began before the one that was served says nothing.
-        (0..9).for_each(|n| own.ended(20 + n * 20, Ended::Failed));
+        (0..9).for_each(|n| own.ended(20 + n * 20, CallOutcome::Failed));
         assert_eq!((own.down(100), own.served()), (None, Some(220)));
     }
 }
--- a/crates/knowledge/src/outages.rs
+++ b/crates/knowledge/src/outages.rs
@@ -10,7 +10,7 @@
 //! not believed alone the next time.
 
 use crate::Micros;
-use crate::findings::{Ended, Finding, Judgement, Own};
+use crate::findings::{CallOutcome, Finding, OutageReport, Own};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -37,45 +37,46 @@
 
 /// What an installation's settings say of a return.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ramp {
+pub struct SlowStart {
     /// How long a call and its word take: one tries so often (microseconds).
-    pub turn: Micros,
+    pub probe_interval: Micros,
     /// It is warm after so long (microseconds).
-    pub warm: Micros,
+    pub warm_up: Micros,
     /// What part of its capacity it has at first.
-    pub start: f64,
+    pub initial_fraction: f64,
 }
 
-impl Ramp {
+impl SlowStart {
     /// Which part of its capacity one has that has been back for so long.
-    pub fn warmth(&self, back: Micros) -> f64 {
-        let part = back as f64 / self.warm.max(1) as f64;
-        (self.start + (1.0 - self.start) * part).clamp(0.0, 1.0)
+    pub fn fraction(&self, back: Micros) -> f64 {
+        let part = back as f64 / self.warm_up.max(1) as f64;
+        (self.initial_fraction + (1.0 - self.initial_fraction) * part).clamp(0.0, 1.0)
     }
 }
 
 /// How a destination stands here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stand {
+pub enum DestState {
     /// Nothing is held against it.
     #[default]
     Up,
     /// Down since then.
     Down(Micros),
     /// Back since then, and not warm yet.
-    Back(Micros),
+    #[serde(rename = "back")]
+    Recovering(Micros),
 }
 
 /// What becomes of a call that wants to begin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Leave {
+pub enum Admission {
     /// It may, and all together may send this part of what they may otherwise.
-    Part(f64),
+    Fraction(f64),
     /// It may, as the one that tries: nothing else is counted.
-    Trial,
+    Probe,
     /// It is to ask again after so long (microseconds).
-    Hold(Micros),
+    Defer(Micros),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -102,7 +103,7 @@
 struct Dest {
     own: Own,
     words: BTreeMap<u64, Word>,
-    stand: Stand,
+    stand: DestState,
     /// Whose word brought it back.
     by: Option<u64>,
     /// Its own trials: the last one, and since when calls are held for the word of others.
@@ -116,49 +117,62 @@
     /// Which.
     pub dest: u64,
     /// How it stands here.
-    pub stand: Stand,
+    #[serde(rename = "stand")]
+    pub state: DestState,
     /// For how long it has stood so (microseconds).
     pub since: Micros,
     /// What part of its capacity all together may use now.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub capacity_fraction: f64,
     /// Who found it down, and how long ago the last of its calls began (microseconds).
-    pub found: Vec<(u64, Micros)>,
+    #[serde(rename = "found")]
+    pub reporters: Vec<(u64, Micros)>,
     /// Who tries; none where nobody's word is fresh.
-    pub tries: Option<u64>,
+    #[serde(rename = "tries")]
+    pub prober: Option<u64>,
 }
 
 /// What one member knows of outages.
 #[derive(Clone, Debug)]
-pub struct Outages {
+pub struct OutageDetector {
     me: u64,
     boot: u64,
     count: u64,
-    ramp: Ramp,
+    ramp: SlowStart,
     members: usize,
     dests: BTreeMap<u64, Dest>,
     news_until: Micros,
     refused: u64,
 }
 
-impl Outages {
+impl OutageDetector {
     /// A member that starts, with the boot number that it speaks under.
-    pub fn new(me: u64, boot: u64, ramp: Ramp) -> Self {
-        Outages { me, boot, count: 0, ramp, members: 1, dests: BTreeMap::new(), news_until: 0, refused: 0 }
+    pub fn new(me: u64, boot: u64, ramp: SlowStart) -> Self {
+        OutageDetector {
+            me,
+            boot,
+            count: 0,
+            ramp,
+            members: 1,
+            dests: BTreeMap::new(),
+            news_until: 0,
+            refused: 0,
+        }
     }
 
     /// It speaks under another boot number from now on, and so many are there.
-    pub fn set(&mut self, boot: u64, members: usize) {
+    pub fn set_membership(&mut self, boot: u64, members: usize) {
         self.boot = self.boot.max(boot);
         self.members = members.max(1);
     }
 
     /// What settings say of a return, once they are known.
-    pub fn set_ramp(&mut self, ramp: Ramp) {
+    pub fn set_slow_start(&mut self, ramp: SlowStart) {
         self.ramp = ramp;
     }
 
     /// A call of this member has ended; `began` is when its first byte left, or when a connection was tried.
-    pub fn ended(&mut self, now: Micros, dest: u64, began: Micros, how: Ended) {
+    pub fn record_call_end(&mut self, now: Micros, dest: u64, began: Micros, how: CallOutcome) {
         let known = self.dests.contains_key(&dest);
         // What is served where nothing is known is the usual case, and leaves a moment behind.
         if !known && self.dests.len() >= DESTS_MOST {
@@ -168,10 +182,10 @@
         let kept = self.dests.entry(dest).or_default();
         kept.own.ended(began, how);
         let finding = match (how, kept.stand) {
-            (Ended::Failed, _) => kept.own.down(ramp.turn / 2).map(Found::Down),
+            (CallOutcome::Failed, _) => kept.own.down(ramp.probe_interval / 2).map(Found::Down),
             // Its own trial, or a call that was out when the others found it down.
-            (Ended::Served, Stand::Down(_)) => {
-                (kept.stand, kept.by) = (Stand::Back(now), Some(me));
+            (CallOutcome::Served, DestState::Down(_)) => {
+                (kept.stand, kept.by) = (DestState::Recovering(now), Some(me));
                 Some(Found::Back(now))
             }
             _ => None,
@@ -181,28 +195,28 @@
             let order = (self.boot, self.count);
             let word = Word { order, finding, heard: now, told: 0, wrong: 0, distrust: 0 };
             kept.words.insert(me, word);
-            self.news_until = self.news_until.max(now + ramp.turn * FOUND_TURNS);
+            self.news_until = self.news_until.max(now + ramp.probe_interval * FOUND_TURNS);
         }
         self.judge(now, dest);
     }
 
     /// A destination shut its door until then: it comes back cold, and one tries first.
-    pub fn shut(&mut self, now: Micros, dest: u64, until: Micros) {
+    pub fn record_shutdown(&mut self, now: Micros, dest: u64, until: Micros) {
         if self.dests.len() >= DESTS_MOST && !self.dests.contains_key(&dest) {
             return;
         }
         let kept = self.dests.entry(dest).or_default();
         // Who was served by it since goes by that.
-        if !matches!(kept.stand, Stand::Down(_)) && kept.own.served().is_none_or(|served| served < now) {
-            (kept.stand, kept.by) = (Stand::Down(now), None);
+        if !matches!(kept.stand, DestState::Down(_)) && kept.own.served().is_none_or(|served| served < now) {
+            (kept.stand, kept.by) = (DestState::Down(now), None);
             // Nobody's word is fresh when the door opens: patience counts from there.
             kept.holding = Some(until);
         }
     }
 
     /// A word of another member has come.
-    pub fn hear(&mut self, now: Micros, word: &Judgement) {
-        let Judgement { dest, origin, order, finding } = *word;
+    pub fn receive(&mut self, now: Micros, word: &OutageReport) {
+        let OutageReport { dest, origin, version: order, finding } = *word;
         let full = !self.dests.contains_key(&dest) && self.dests.len() >= DESTS_MOST;
         if origin == self.me || finding.age() > AGE_MOST || full {
             self.refused += 1;
@@ -225,10 +239,10 @@
         let at = now.saturating_sub(finding.age());
         let finding = match finding {
             Finding::Down(_) => Found::Down(at),
-            Finding::Back(_) => Found::Back(at),
+            Finding::Recovered(_) => Found::Back(at),
         };
         (entry.order, entry.finding, entry.heard, entry.told) = (order, finding, now, 0);
-        self.news_until = self.news_until.max(now + self.ramp.turn * FOUND_TURNS);
+        self.news_until = self.news_until.max(now + self.ramp.probe_interval * FOUND_TURNS);
         self.judge(now, dest);
     }
 
@@ -238,7 +252,7 @@
         let Some(kept) = self.dests.get_mut(&dest) else { return };
         let served = kept.own.served().unwrap_or(0);
         match kept.stand {
-            Stand::Down(since) => {
+            DestState::Down(since) => {
                 // One that found it back after it was down, and who has not been wrong lately; else two of them.
                 let back = |(origin, w): (&u64, &Word)| match w.finding {
                     Found::Back(at) if at >= since => Some((*origin, at, w.distrust <= now)),
@@ -247,28 +261,28 @@
                 let told: Vec<(u64, Micros, bool)> = kept.words.iter().filter_map(back).collect();
                 let trusted = told.iter().find(|(_, _, trusted)| *trusted);
                 if let Some((by, at, _)) = trusted.or(told.first().filter(|_| told.len() >= ORIGINS_LEAST)) {
-                    (kept.stand, kept.by) = (Stand::Back(*at), Some(*by));
+                    (kept.stand, kept.by) = (DestState::Recovering(*at), Some(*by));
                     kept.holding = None;
                 }
             }
-            Stand::Up | Stand::Back(_) => {
-                let since = if let Stand::Back(at) = kept.stand { at } else { 0 };
-                if matches!(kept.stand, Stand::Back(_)) && now >= since + ramp.warm {
-                    (kept.stand, kept.by) = (Stand::Up, None);
+            DestState::Up | DestState::Recovering(_) => {
+                let since = if let DestState::Recovering(at) = kept.stand { at } else { 0 };
+                if matches!(kept.stand, DestState::Recovering(_)) && now >= since + ramp.warm_up {
+                    (kept.stand, kept.by) = (DestState::Up, None);
                 }
                 let after = since.max(served);
                 let counts = |w: &Word| {
                     matches!(w.finding, Found::Down(at) if at > after)
-                        && now <= w.heard.saturating_add(ramp.turn * FOUND_TURNS)
+                        && now <= w.heard.saturating_add(ramp.probe_interval * FOUND_TURNS)
                 };
                 if kept.words.values().filter(|w| counts(w)).count() >= ORIGINS_LEAST {
                     // Whoever said that it was back was wrong, and costs more the next time.
-                    let wrong = kept.by.filter(|by| *by != me && now < since + ramp.warm);
+                    let wrong = kept.by.filter(|by| *by != me && now < since + ramp.warm_up);
                     if let Some(word) = wrong.and_then(|by| kept.words.get_mut(&by)) {
                         word.wrong = (word.wrong + 1).min(8);
-                        word.distrust = now + ramp.turn * DISTRUST_TURNS * (1 << (word.wrong - 1));
+                        word.distrust = now + ramp.probe_interval * DISTRUST_TURNS * (1 << (word.wrong - 1));
                     }
-                    (kept.stand, kept.by) = (Stand::Down(now), None);
+                    (kept.stand, kept.by) = (DestState::Down(now), None);
                     (kept.tried, kept.holding) = (None, Some(now));
                 }
             }
@@ -277,59 +291,60 @@
 
     /// Who tries a destination that is down: of those whose findings are fresh the one with the lowest hash.
     fn trier(&self, now: Micros, dest: u64, kept: &Dest) -> Option<u64> {
-        let fresh =
-            |w: &Word| matches!(w.finding, Found::Down(_)) && now <= w.heard + self.ramp.turn * FRESH_TURNS;
+        let fresh = |w: &Word| {
+            matches!(w.finding, Found::Down(_)) && now <= w.heard + self.ramp.probe_interval * FRESH_TURNS
+        };
         let fresh = kept.words.iter().filter(|(_, w)| fresh(w)).map(|(origin, _)| *origin);
         fresh.min_by_key(|origin| hash([dest, *origin, 0]))
     }
 
     /// Whether a call to a destination may begin now. To be asked at the last step before its first byte.
-    pub fn leave(&mut self, now: Micros, dest: u64) -> Leave {
+    pub fn admit(&mut self, now: Micros, dest: u64) -> Admission {
         let (ramp, me) = (self.ramp, self.me);
-        let stand = self.dests.get(&dest).map_or(Stand::Up, |kept| kept.stand);
+        let stand = self.dests.get(&dest).map_or(DestState::Up, |kept| kept.stand);
         match stand {
-            Stand::Up => return Leave::Part(1.0),
-            Stand::Back(at) if now >= at + ramp.warm => {
+            DestState::Up => return Admission::Fraction(1.0),
+            DestState::Recovering(at) if now >= at + ramp.warm_up => {
                 self.judge(now, dest);
-                return Leave::Part(1.0);
+                return Admission::Fraction(1.0);
             }
-            Stand::Back(at) => return Leave::Part(ramp.warmth(now.saturating_sub(at))),
-            Stand::Down(_) => {}
+            DestState::Recovering(at) => return Admission::Fraction(ramp.fraction(now.saturating_sub(at))),
+            DestState::Down(_) => {}
         }
-        let Some(kept) = self.dests.get(&dest) else { return Leave::Part(1.0) };
+        let Some(kept) = self.dests.get(&dest) else { return Admission::Fraction(1.0) };
         let trier = self.trier(now, dest, kept);
-        let next = kept.tried.map_or(0, |at| at + ramp.turn);
+        let next = kept.tried.map_or(0, |at| at + ramp.probe_interval);
         let mine = match trier {
             Some(who) if who == me => true,
             _ => {
                 // Its chance of this turn: of its own clock, so that not all draw at once.
                 let since = kept.holding.unwrap_or(now);
-                let turns = now.saturating_sub(since) / ramp.turn.max(1);
+                let turns = now.saturating_sub(since) / ramp.probe_interval.max(1);
                 // With nobody's word the chance doubles each turn; with one, after some turns.
                 let steps = if trier.is_none() { turns } else { turns / PATIENCE_TURNS };
                 let chance = 2f64.powi(steps.min(32) as i32) / self.members as f64;
                 let patient = trier.is_some() && steps == 0;
-                let drawn = hash([dest, me, now / ramp.turn.max(1)]) as f64 / u64::MAX as f64;
+                let drawn = hash([dest, me, now / ramp.probe_interval.max(1)]) as f64 / u64::MAX as f64;
                 now >= since && !patient && drawn < chance
             }
         };
-        let Some(kept) = self.dests.get_mut(&dest) else { return Leave::Part(1.0) };
+        let Some(kept) = self.dests.get_mut(&dest) else { return Admission::Fraction(1.0) };
         if mine && now >= next {
             kept.tried = Some(now);
             kept.holding = Some(now);
-            return Leave::Trial;
+            return Admission::Probe;
         }
         kept.holding.get_or_insert(now);
-        Leave::Hold((ramp.turn / 2).max(1))
+        Admission::Defer((ramp.probe_interval / 2).max(1))
     }
 
     /// A call that was let through as a trial has not begun after all.
-    pub fn not_tried(&mut self, dest: u64) {
+    pub fn cancel_probe(&mut self, dest: u64) {
         self.dests.get_mut(&dest).into_iter().for_each(|kept| kept.tried = None);
     }
 
     /// Words to pass on in a round, those that were passed on the least first, and at most so many.
-    pub fn words(&mut self, now: Micros, most: usize, members: usize) -> Vec<Judgement> {
+    pub fn updates_to_send(&mut self, now: Micros, most: usize, members: usize) -> Vec<OutageReport> {
         self.forget(now);
         let rounds = (ROUNDS * (members as f64 + 1.0).log2()).ceil() as u32;
         let mut fresh: Vec<(u32, u64, u64)> = Vec::new();
@@ -353,14 +368,14 @@
         words
     }
 
-    /// Whether there may be anything to pass on; [`Outages::words`] tells.
-    pub fn has_news(&self, now: Micros) -> bool {
+    /// Whether there may be anything to pass on; [`OutageDetector::words`] tells.
+    pub fn has_updates(&self, now: Micros) -> bool {
         now < self.news_until
     }
 
     /// Every finding of a destination that is not simply up, for one that has just come: at most so many.
-    pub fn all(&self, now: Micros, most: usize) -> Vec<Judgement> {
-        let troubled = self.dests.iter().filter(|(_, kept)| kept.stand != Stand::Up);
+    pub fn snapshot(&self, now: Micros, most: usize) -> Vec<OutageReport> {
+        let troubled = self.dests.iter().filter(|(_, kept)| kept.stand != DestState::Up);
         let words = troubled.flat_map(|(dest, kept)| {
             kept.words.iter().filter_map(move |(origin, word)| judgement(now, *dest, *origin, word))
         });
@@ -368,31 +383,31 @@
     }
 
     /// How destinations stand that are not simply up.
-    pub fn known(&self, now: Micros) -> Vec<Outage> {
+    pub fn status(&self, now: Micros) -> Vec<Outage> {
         let one = |(dest, kept): (&u64, &Dest)| {
             let found = |(origin, w): (&u64, &Word)| match w.finding {
                 Found::Down(at) => Some((*origin, now.saturating_sub(at))),
                 _ => None,
             };
             let (since, part) = match kept.stand {
-                Stand::Up => return None,
-                Stand::Down(at) => (at, 0.0),
-                Stand::Back(at) => (at, self.ramp.warmth(now.saturating_sub(at))),
+                DestState::Up => return None,
+                DestState::Down(at) => (at, 0.0),
+                DestState::Recovering(at) => (at, self.ramp.fraction(now.saturating_sub(at))),
             };
             Some(Outage {
                 dest: *dest,
-                stand: kept.stand,
+                state: kept.stand,
                 since: now.saturating_sub(since),
-                part,
-                found: kept.words.iter().filter_map(found).collect(),
-                tries: self.trier(now, *dest, kept).filter(|_| part == 0.0),
+                capacity_fraction: part,
+                reporters: kept.words.iter().filter_map(found).collect(),
+                prober: self.trier(now, *dest, kept).filter(|_| part == 0.0),
             })
         };
         self.dests.iter().filter_map(one).collect()
     }
 
     /// Words that were not believed.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.refused
     }
 
@@ -400,32 +415,34 @@
     fn forget(&mut self, now: Micros) {
         let ramp = self.ramp;
         for kept in self.dests.values_mut() {
-            if let Stand::Back(at) = kept.stand
-                && now >= at + ramp.warm
+            if let DestState::Recovering(at) = kept.stand
+                && now >= at + ramp.warm_up
             {
-                (kept.stand, kept.by) = (Stand::Up, None);
+                (kept.stand, kept.by) = (DestState::Up, None);
             }
-            let old = |w: &Word| now > w.heard.saturating_add(ramp.turn * FOUND_TURNS) && now > w.distrust;
-            if kept.stand == Stand::Up {
+            let old = |w: &Word| {
+                now > w.heard.saturating_add(ramp.probe_interval * FOUND_TURNS) && now > w.distrust
+            };
+            if kept.stand == DestState::Up {
                 kept.words.retain(|_, w| !old(w));
             }
         }
         // Of one that is up, and about which nothing was heard, its last call outranks findings for as long as those are believed.
         self.dests.retain(|_, kept| {
             let served = kept.own.served().is_some_and(|at| now < at.saturating_add(AGE_MOST));
-            kept.stand != Stand::Up || !kept.words.is_empty() || kept.own.fails() || served
+            kept.stand != DestState::Up || !kept.words.is_empty() || kept.own.fails() || served
         });
     }
 }
 
 /// A word as it is told at a moment.
-fn judgement(now: Micros, dest: u64, origin: u64, word: &Word) -> Option<Judgement> {
+fn judgement(now: Micros, dest: u64, origin: u64, word: &Word) -> Option<OutageReport> {
     let finding = match word.finding {
         Found::Nothing => return None,
         Found::Down(at) => Finding::Down(0).aged(now.saturating_sub(at)),
-        Found::Back(at) => Finding::Back(0).aged(now.saturating_sub(at)),
+        Found::Back(at) => Finding::Recovered(0).aged(now.saturating_sub(at)),
     };
-    Some(Judgement { dest, origin, order: word.order, finding })
+    Some(OutageReport { dest, origin, version: word.order, finding })
 }
 
 fn hash(of: [u64; 3]) -> u64 {
@@ -438,22 +455,23 @@
     use proptest::prelude::*;
 
     const S: Micros = 1_000_000;
-    const RAMP: Ramp = Ramp { turn: S, warm: 10 * S, start: 0.2 };
+    const RAMP: SlowStart = SlowStart { probe_interval: S, warm_up: 10 * S, initial_fraction: 0.2 };
     const DEST: u64 = 7;
 
-    fn member(me: u64, members: usize) -> Outages {
-        let mut one = Outages::new(me, 1, RAMP);
-        one.set(1, members);
+    fn member(me: u64, members: usize) -> OutageDetector {
+        let mut one = OutageDetector::new(me, 1, RAMP);
+        one.set_membership(1, members);
         one
     }
 
-    fn fail(one: &mut Outages, from: Micros) {
-        (0..4).for_each(|n| one.ended(from + n * S / 4, DEST, from + n * S / 4, Ended::Failed));
+    fn fail(one: &mut OutageDetector, from: Micros) {
+        (0..4)
+            .for_each(|n| one.record_call_end(from + n * S / 4, DEST, from + n * S / 4, CallOutcome::Failed));
     }
 
-    fn tell(now: Micros, from: &mut Outages, to: &mut [&mut Outages]) {
-        for word in from.words(now, 24, 5) {
-            to.iter_mut().for_each(|one| one.hear(now, &word));
+    fn tell(now: Micros, from: &mut OutageDetector, to: &mut [&mut OutageDetector]) {
+        for word in from.updates_to_send(now, 24, 5) {
+            to.iter_mut().for_each(|one| one.receive(now, &word));
         }
     }
 
@@ -464,24 +482,24 @@
         let (mut a, mut b, mut c) = (member(1, 3), member(2, 3), member(3, 3));
         fail(&mut a, 100 * S);
         tell(101 * S, &mut a, &mut [&mut b, &mut c]);
-        assert_eq!(c.leave(101 * S, DEST), Leave::Part(1.0), "one alone says nothing");
+        assert_eq!(c.admit(101 * S, DEST), Admission::Fraction(1.0), "one alone says nothing");
         fail(&mut b, 100 * S);
         tell(101 * S, &mut b, &mut [&mut a, &mut c]);
         let now = 101 * S + 1;
-        let leaves = [a.leave(now, DEST), b.leave(now, DEST), c.leave(now, DEST)];
-        assert_eq!(leaves.iter().filter(|l| **l == Leave::Trial).count(), 1, "{leaves:?}");
-        assert!(matches!(leaves[2], Leave::Hold(_)));
-        let first = if leaves[0] == Leave::Trial { &mut a } else { &mut b };
-        assert!(matches!(first.leave(now, DEST), Leave::Hold(_)), "once a turn");
-        first.ended(102 * S, DEST, now, Ended::Served);
-        let word = first.words(102 * S, 24, 3);
-        assert_eq!(first.leave(102 * S, DEST), Leave::Part(0.2));
-        word.iter().for_each(|w| c.hear(103 * S, w));
+        let leaves = [a.admit(now, DEST), b.admit(now, DEST), c.admit(now, DEST)];
+        assert_eq!(leaves.iter().filter(|l| **l == Admission::Probe).count(), 1, "{leaves:?}");
+        assert!(matches!(leaves[2], Admission::Defer(_)));
+        let first = if leaves[0] == Admission::Probe { &mut a } else { &mut b };
+        assert!(matches!(first.admit(now, DEST), Admission::Defer(_)), "once a turn");
+        first.record_call_end(102 * S, DEST, now, CallOutcome::Served);
+        let word = first.updates_to_send(102 * S, 24, 3);
+        assert_eq!(first.admit(102 * S, DEST), Admission::Fraction(0.2));
+        word.iter().for_each(|w| c.receive(103 * S, w));
         // The way took a second: later than it was, never earlier.
-        assert_eq!(c.leave(103 * S, DEST), Leave::Part(0.2));
-        let Leave::Part(half) = c.leave(108 * S, DEST) else { panic!("back") };
+        assert_eq!(c.admit(103 * S, DEST), Admission::Fraction(0.2));
+        let Admission::Fraction(half) = c.admit(108 * S, DEST) else { panic!("back") };
         assert!((0.59..0.61).contains(&half), "{half}");
-        assert_eq!(c.leave(114 * S, DEST), Leave::Part(1.0));
+        assert_eq!(c.admit(114 * S, DEST), Admission::Fraction(1.0));
     }
 
     /// Where nobody's word is fresh whoever has calls tries by chance, few at a time and in bounded time.
@@ -489,16 +507,18 @@
     fn where_nobody_speaks_a_few_try_and_soon_one() {
         let mut first = Vec::new();
         for fleet in 0..20u64 {
-            let mut all: Vec<Outages> = (0..300).map(|n| member(fleet * 1000 + n, 300)).collect();
+            let mut all: Vec<OutageDetector> = (0..300).map(|n| member(fleet * 1000 + n, 300)).collect();
             for one in &mut all {
                 for origin in [900_001, 900_002] {
                     let finding = Finding::Down(0);
-                    one.hear(100 * S, &Judgement { dest: DEST, origin, order: (1, 1), finding });
+                    one.receive(100 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
                 }
             }
-            let tried = |turn: u64, all: &mut [Outages]| {
+            let tried = |turn: u64, all: &mut [OutageDetector]| {
                 let at = (100 + turn) * S + S / 2;
-                all.iter_mut().filter_map(|one| (one.leave(at, DEST) == Leave::Trial).then_some(())).count()
+                all.iter_mut()
+                    .filter_map(|one| (one.admit(at, DEST) == Admission::Probe).then_some(()))
+                    .count()
             };
             let (mut turn, mut many) = (0, 0);
             while many == 0 {
@@ -515,40 +535,46 @@
     #[test]
     fn what_says_nothing_any_more_is_not_kept() {
         let mut one = member(1, 5);
-        one.ended(100 * S, DEST, 99 * S, Ended::Served);
-        one.words(200 * S, 24, 5);
+        one.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
+        one.updates_to_send(200 * S, 24, 5);
         assert_eq!(one.dests.len(), 1, "its call may outrank what is heard later");
-        one.words(900 * S, 24, 5);
+        one.updates_to_send(900 * S, 24, 5);
         assert_eq!(one.dests.len(), 0);
     }
 
     #[test]
     fn own_calls_outrank_what_others_found_and_one_cut_off_alone_harms_nobody() {
         let mut one = member(1, 5);
-        one.ended(100 * S, DEST, 99 * S, Ended::Served);
+        one.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
         for origin in [2, 3] {
             let finding = Finding::Down(5 * S);
-            one.hear(101 * S, &Judgement { dest: DEST, origin, order: (1, 1), finding });
+            one.receive(101 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
         }
-        assert_eq!(one.leave(101 * S, DEST), Leave::Part(1.0), "served since");
+        assert_eq!(one.admit(101 * S, DEST), Admission::Fraction(1.0), "served since");
         let mut other = member(4, 5);
         for n in 0..1000 {
             let finding = Finding::Down(0);
-            other.hear((100 + n) * S, &Judgement { dest: DEST, origin: 2, order: (1, n + 1), finding });
-            assert_eq!(other.leave((100 + n) * S, DEST), Leave::Part(1.0));
+            other.receive(
+                (100 + n) * S,
+                &OutageReport { dest: DEST, origin: 2, version: (1, n + 1), finding },
+            );
+            assert_eq!(other.admit((100 + n) * S, DEST), Admission::Fraction(1.0));
         }
         // Two that say so hold it back, and it tries for itself all the same.
         let mut tried = 0;
         for n in 0..200 {
             for origin in [2, 3] {
                 let finding = Finding::Down(0);
-                other.hear((2000 + n) * S, &Judgement { dest: DEST, origin, order: (2, n + 1), finding });
+                other.receive(
+                    (2000 + n) * S,
+                    &OutageReport { dest: DEST, origin, version: (2, n + 1), finding },
+                );
             }
-            tried += usize::from(other.leave((2000 + n) * S + 1, DEST) == Leave::Trial);
+            tried += usize::from(other.admit((2000 + n) * S + 1, DEST) == Admission::Probe);
         }
         assert!((5..60).contains(&tried), "{tried}");
-        other.ended(2300 * S, DEST, 2299 * S, Ended::Served);
-        assert!(matches!(other.leave(2300 * S, DEST), Leave::Part(_)));
+        other.record_call_end(2300 * S, DEST, 2299 * S, CallOutcome::Served);
+        assert!(matches!(other.admit(2300 * S, DEST), Admission::Fraction(_)));
     }
 
     /// Whoever says "back" of what is down is believed once, and then for a while not alone.
@@ -560,16 +586,19 @@
             let now = (100 + n) * S;
             for origin in [2, 3] {
                 let finding = Finding::Down(0);
-                one.hear(now, &Judgement { dest: DEST, origin, order: (1, n + 1), finding });
+                one.receive(now, &OutageReport { dest: DEST, origin, version: (1, n + 1), finding });
             }
-            let finding = Finding::Back(0);
-            one.hear(now + 1, &Judgement { dest: DEST, origin: 4, order: (1, n + 1), finding });
-            believed += usize::from(matches!(one.leave(now + 2, DEST), Leave::Part(_)));
+            let finding = Finding::Recovered(0);
+            one.receive(now + 1, &OutageReport { dest: DEST, origin: 4, version: (1, n + 1), finding });
+            believed += usize::from(matches!(one.admit(now + 2, DEST), Admission::Fraction(_)));
         }
         assert!((1..=4).contains(&believed), "{believed} of 100");
-        let finding = Finding::Back(0);
-        one.hear(201 * S, &Judgement { dest: DEST, origin: 5, order: (1, 1), finding });
-        assert!(matches!(one.leave(201 * S, DEST), Leave::Part(_)), "another's word is another matter");
+        let finding = Finding::Recovered(0);
+        one.receive(201 * S, &OutageReport { dest: DEST, origin: 5, version: (1, 1), finding });
+        assert!(
+            matches!(one.admit(201 * S, DEST), Admission::Fraction(_)),
+            "another's word is another matter"
+        );
     }
 
     proptest! {
@@ -583,16 +612,16 @@
             // One origin says one thing under one number.
             let word = |(origin, count, _): &(u64, u64, bool)| {
                 let down = (origin * 7 + count * 13) % 3 != 0;
-                let finding = if down { Finding::Down(0) } else { Finding::Back(0) };
-                Judgement { dest: DEST, origin: *origin, order: (1, *count), finding }
+                let finding = if down { Finding::Down(0) } else { Finding::Recovered(0) };
+                OutageReport { dest: DEST, origin: *origin, version: (1, *count), finding }
             };
-            let words: Vec<Judgement> = words.iter().map(word).collect();
+            let words: Vec<OutageReport> = words.iter().map(word).collect();
             let mut shuffled = [words.clone(), words.clone()].concat();
             let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
             rand::seq::SliceRandom::shuffle(&mut shuffled[..], &mut rng);
-            let heard = |words: &[Judgement]| {
+            let heard = |words: &[OutageReport]| {
                 let mut one = member(1, 5);
-                words.iter().for_each(|word| one.hear(S, word));
+                words.iter().for_each(|word| one.receive(S, word));
                 let kept = one.dests.get(&DEST).map(|d| d.words.clone()).unwrap_or_default();
                 kept.iter().map(|(o, w)| (*o, w.order, w.finding)).collect::<Vec<_>>()
             };
@@ -613,10 +642,10 @@
             let mut held = 0;
             for (n, (origin, age, down, pause)) in words.into_iter().enumerate() {
                 now += pause * S / 100;
-                let finding = if down { Finding::Down(age) } else { Finding::Back(age) };
-                one.hear(now, &Judgement { dest: DEST, origin, order: (1, n as u64 + 1), finding });
+                let finding = if down { Finding::Down(age) } else { Finding::Recovered(age) };
+                one.receive(now, &OutageReport { dest: DEST, origin, version: (1, n as u64 + 1), finding });
             }
-            while matches!(one.leave(now, DEST), Leave::Hold(_)) {
+            while matches!(one.admit(now, DEST), Admission::Defer(_)) {
                 now += S / 4;
                 held += 1;
                 prop_assert!(held < 4 * 40, "held for {} turns", held / 4);
--- a/crates/knowledge/src/waits.rs
+++ b/crates/knowledge/src/waits.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The longest wait that is believed (microseconds), as of destinations themselves.
-pub const WAIT_MOST: Micros = 60_000_000;
+pub const MAX_WAIT: Micros = 60_000_000;
 /// Destinations about which anything is kept; further ones are not heard of.
 const DESTS_MOST: usize = 10_000;
 /// Origins whose words about one destination are kept.
@@ -21,15 +21,15 @@
 
 /// One origin's word about one destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WaitWord {
+pub struct WaitReport {
     /// The destination.
     pub dest: u64,
     /// Who was told the wait.
     pub origin: u64,
     /// The origin's boot, and its count of words under that.
-    pub order: (u64, u64),
+    pub version: (u64, u64),
     /// How long is left (microseconds).
-    pub left: Micros,
+    pub remaining: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,20 +44,21 @@
 
 /// What is known of one destination, for those who ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownWait {
     /// Which.
     pub dest: u64,
     /// Who was told.
     pub origin: u64,
     /// How long it holds here (microseconds).
-    pub left: Micros,
+    #[serde(rename = "left")]
+    pub remaining: Micros,
     /// How long ago it was heard of (microseconds).
     pub age: Micros,
 }
 
 /// What one member knows.
 #[derive(Clone, Debug)]
-pub struct Knowledge {
+pub struct WaitTable {
     me: u64,
     boot: u64,
     count: u64,
@@ -69,11 +70,11 @@
     refused: u64,
 }
 
-impl Knowledge {
+impl WaitTable {
     /// A member that starts, with the boot number that it speaks under and a seed.
     pub fn new(me: u64, boot: u64, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        Knowledge { me, boot, count: 0, rng, dests: BTreeMap::new(), news_until: 0, refused: 0 }
+        WaitTable { me, boot, count: 0, rng, dests: BTreeMap::new(), news_until: 0, refused: 0 }
     }
 
     /// It speaks under another boot number from now on.
@@ -82,10 +83,10 @@
     }
 
     /// A destination told this member to wait.
-    pub fn told_wait(&mut self, now: Micros, dest: u64, span: Micros) {
+    pub fn record_wait(&mut self, now: Micros, dest: u64, span: Micros) {
         self.count += 1;
         let order = (self.boot, self.count);
-        let until = now.saturating_add(span.min(WAIT_MOST));
+        let until = now.saturating_add(span.min(MAX_WAIT));
         if self.dests.len() >= DESTS_MOST && !self.dests.contains_key(&dest) {
             return;
         }
@@ -97,7 +98,7 @@
     }
 
     /// A call that began at a moment was served: what was heard before then does not hold here any more.
-    pub fn served(&mut self, now: Micros, dest: u64, began: Micros) {
+    pub fn record_success(&mut self, now: Micros, dest: u64, began: Micros) {
         let me = self.me;
         if let Some(origins) = self.dests.get_mut(&dest) {
             let over = |(origin, e): (&u64, &mut Entry)| {
@@ -110,13 +111,13 @@
     }
 
     /// A word has come.
-    pub fn hear(&mut self, now: Micros, word: &WaitWord) {
-        let WaitWord { dest, origin, order, left } = *word;
+    pub fn receive(&mut self, now: Micros, word: &WaitReport) {
+        let WaitReport { dest, origin, version: order, remaining: left } = *word;
         let known = self.dests.get(&dest);
         let full = known.map_or(self.dests.len() >= DESTS_MOST, |origins| {
             origins.len() >= ORIGINS_MOST && !origins.contains_key(&origin)
         });
-        if origin == self.me || left > WAIT_MOST || full {
+        if origin == self.me || left > MAX_WAIT || full {
             self.refused += 1;
             return;
         }
@@ -138,7 +139,7 @@
     }
 
     /// Words to pass on in a round, those that were passed on the least first, and at most so many; `members` are there.
-    pub fn words(&mut self, now: Micros, most: usize, members: usize) -> Vec<WaitWord> {
+    pub fn updates_to_send(&mut self, now: Micros, most: usize, members: usize) -> Vec<WaitReport> {
         self.forget(now);
         let rounds = (ROUNDS * (members as f64 + 1.0).log2()).ceil() as u32;
         let mut fresh: Vec<(u32, u64, u64)> = Vec::new();
@@ -156,44 +157,44 @@
         for (_, dest, origin) in fresh {
             if let Some(entry) = self.dests.get_mut(&dest).and_then(|origins| origins.get_mut(&origin)) {
                 entry.told += 1;
-                words.push(WaitWord { dest, origin, order: entry.order, left: entry.until - now });
+                words.push(WaitReport { dest, origin, version: entry.order, remaining: entry.until - now });
             }
         }
         words
     }
 
-    /// Whether there may be anything to pass on; [`Knowledge::words`] tells.
-    pub fn has_news(&self, now: Micros) -> bool {
+    /// Whether there may be anything to pass on; [`WaitTable::words`] tells.
+    pub fn has_updates(&self, now: Micros) -> bool {
         now < self.news_until
     }
 
     /// To whom a round's words go, of those that are there.
-    pub fn peers(&mut self, there: &[u64]) -> Vec<u64> {
+    pub fn sample_peers(&mut self, there: &[u64]) -> Vec<u64> {
         there.sample(&mut self.rng, FAN).copied().collect()
     }
 
     /// Everything that still holds, for one that has just come: at most so many words, the longest first.
-    pub fn all(&self, now: Micros, most: usize) -> Vec<WaitWord> {
-        let mut words: Vec<WaitWord> = Vec::new();
+    pub fn snapshot(&self, now: Micros, most: usize) -> Vec<WaitReport> {
+        let mut words: Vec<WaitReport> = Vec::new();
         for (dest, origins) in &self.dests {
-            words.extend(origins.iter().filter(|(_, e)| e.until > now).map(|(origin, e)| WaitWord {
+            words.extend(origins.iter().filter(|(_, e)| e.until > now).map(|(origin, e)| WaitReport {
                 dest: *dest,
                 origin: *origin,
-                order: e.order,
-                left: e.until - now,
+                version: e.order,
+                remaining: e.until - now,
             }));
         }
-        words.sort_unstable_by_key(|word| std::cmp::Reverse(word.left));
+        words.sort_unstable_by_key(|word| std::cmp::Reverse(word.remaining));
         words.truncate(most);
         words
     }
 
     /// What holds, for those who ask.
-    pub fn known(&self, now: Micros) -> Vec<Known> {
-        let one = |dest: u64, origin: u64, e: &Entry| Known {
+    pub fn status(&self, now: Micros) -> Vec<KnownWait> {
+        let one = |dest: u64, origin: u64, e: &Entry| KnownWait {
             dest,
             origin,
-            left: e.until.saturating_sub(now),
+            remaining: e.until.saturating_sub(now),
             age: now.saturating_sub(e.heard),
         };
         let holds = self.dests.iter().flat_map(|(dest, origins)| {
@@ -203,7 +204,7 @@
     }
 
     /// Words that were not believed.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.refused
     }
 
@@ -211,7 +212,7 @@
     /// was on its way for so long would count once more, for what it says is left.
     fn forget(&mut self, now: Micros) {
         for origins in self.dests.values_mut() {
-            origins.retain(|_, e| e.until > now || e.credit.left(now) < crate::CREDIT_MOST);
+            origins.retain(|_, e| e.until > now || e.credit.available(now) < crate::MAX_CREDIT);
         }
         self.dests.retain(|_, origins| !origins.is_empty());
     }
@@ -226,62 +227,65 @@
 
     #[test]
     fn a_wait_reaches_others_and_newcomers_and_ends() {
-        let mut one = Knowledge::new(1, 1, 1);
-        let (mut two, mut late) = (Knowledge::new(2, 1, 2), Knowledge::new(3, 1, 3));
-        one.told_wait(0, 10, 30 * S);
+        let mut one = WaitTable::new(1, 1, 1);
+        let (mut two, mut late) = (WaitTable::new(2, 1, 2), WaitTable::new(3, 1, 3));
+        one.record_wait(0, 10, 30 * S);
         assert_eq!(one.wait(S, 10), None, "its own is the module's matter");
-        assert!(one.has_news(S));
-        one.words(S, 9, 3).iter().for_each(|word| two.hear(S, word));
+        assert!(one.has_updates(S));
+        one.updates_to_send(S, 9, 3).iter().for_each(|word| two.receive(S, word));
         assert_eq!(two.wait(S, 10), Some(29 * S));
         // By way of the second, ten seconds later.
-        two.all(11 * S, 9).iter().for_each(|word| late.hear(11 * S, word));
+        two.snapshot(11 * S, 9).iter().for_each(|word| late.receive(11 * S, word));
         assert_eq!(late.wait(11 * S, 10), Some(19 * S));
         assert_eq!(late.wait(30 * S, 10), None);
         // It is not news for ever.
-        (0..9).for_each(|_| drop(one.words(2 * S, 9, 3)));
-        assert!(!one.has_news(2 * S));
+        (0..9).for_each(|_| drop(one.updates_to_send(2 * S, 9, 3)));
+        assert!(!one.has_updates(2 * S));
     }
 
     #[test]
     fn own_fresh_evidence_outranks_what_was_heard() {
-        let mut one = Knowledge::new(1, 1, 1);
-        let word = WaitWord { dest: 10, origin: 2, order: (1, 1), left: 20 * S };
-        one.hear(5 * S, &word);
-        one.served(6 * S, 10, 4 * S);
+        let mut one = WaitTable::new(1, 1, 1);
+        let word = WaitReport { dest: 10, origin: 2, version: (1, 1), remaining: 20 * S };
+        one.receive(5 * S, &word);
+        one.record_success(6 * S, 10, 4 * S);
         assert!(one.wait(6 * S, 10).is_some(), "that call had begun before");
-        one.served(7 * S, 10, 6 * S);
+        one.record_success(7 * S, 10, 6 * S);
         assert_eq!(one.wait(7 * S, 10), None);
-        one.hear(8 * S, &word);
+        one.receive(8 * S, &word);
         assert_eq!(one.wait(8 * S, 10), None, "the same word again is no news");
     }
 
     /// Whoever says "an hour" again and again holds a destination for a minute, and then a quarter of the time.
     #[test]
     fn the_harm_of_a_liar_is_bounded() {
-        let mut one = Knowledge::new(1, 1, 1);
-        one.hear(0, &WaitWord { dest: 10, origin: 2, order: (1, 0), left: 3600 * S });
-        assert_eq!((one.wait(0, 10), one.refused()), (None, 1));
+        let mut one = WaitTable::new(1, 1, 1);
+        one.receive(0, &WaitReport { dest: 10, origin: 2, version: (1, 0), remaining: 3600 * S });
+        assert_eq!((one.wait(0, 10), one.rejected()), (None, 1));
         let mut held = 0;
         for second in 0..600 {
-            one.hear(second * S, &WaitWord { dest: 10, origin: 2, order: (1, second + 1), left: 60 * S });
+            one.receive(
+                second * S,
+                &WaitReport { dest: 10, origin: 2, version: (1, second + 1), remaining: 60 * S },
+            );
             held += u64::from(one.wait(second * S + S / 2, 10).is_some());
         }
         assert!((60..=60 + 600 / 4 + 1).contains(&held), "{held} of 600");
         // Another origin's word is another matter.
-        one.hear(601 * S, &WaitWord { dest: 10, origin: 3, order: (1, 1), left: 10 * S });
+        one.receive(601 * S, &WaitReport { dest: 10, origin: 3, version: (1, 1), remaining: 10 * S });
         assert_eq!(one.wait(601 * S, 10), Some(10 * S));
     }
 
     #[test]
     fn what_others_make_it_hold_is_bounded() {
-        let mut one = Knowledge::new(1, 1, 1);
+        let mut one = WaitTable::new(1, 1, 1);
         for n in 0..20_000 {
-            one.hear(0, &WaitWord { dest: n, origin: 2, order: (1, 1), left: 60 * S });
-            one.hear(0, &WaitWord { dest: 5, origin: n + 3, order: (1, 1), left: 60 * S });
+            one.receive(0, &WaitReport { dest: n, origin: 2, version: (1, 1), remaining: 60 * S });
+            one.receive(0, &WaitReport { dest: 5, origin: n + 3, version: (1, 1), remaining: 60 * S });
         }
         assert_eq!((one.dests.len(), one.dests[&5].len()), (DESTS_MOST, ORIGINS_MOST));
-        one.words(200 * S, 9, 300);
-        one.words(600 * S, 9, 300);
+        one.updates_to_send(200 * S, 9, 300);
+        one.updates_to_send(600 * S, 9, 300);
         assert_eq!(one.dests.len(), 0);
     }
 
@@ -295,18 +299,18 @@
             // One origin says one thing under one number.
             let word = |(dest, origin, count, _): &(u64, u64, u64, u64)| {
                 let left = (dest * 7 + origin * 11 + count * 13) % 60 * S;
-                WaitWord { dest: *dest, origin: *origin, order: (1, *count + 1), left }
+                WaitReport { dest: *dest, origin: *origin, version: (1, *count + 1), remaining: left }
             };
-            let words: Vec<WaitWord> = words.iter().map(word).collect();
+            let words: Vec<WaitReport> = words.iter().map(word).collect();
             let mut shuffled = [words.clone(), words.clone()].concat();
             rand::seq::SliceRandom::shuffle(&mut shuffled[..], &mut ChaCha8Rng::seed_from_u64(seed));
-            let heard = |words: &[WaitWord]| {
-                let mut one = Knowledge::new(1, 1, 1);
-                words.iter().for_each(|word| one.hear(S, word));
+            let heard = |words: &[WaitReport]| {
+                let mut one = WaitTable::new(1, 1, 1);
+                words.iter().for_each(|word| one.receive(S, word));
                 one
             };
             let (a, b) = (heard(&words), heard(&shuffled));
-            let orders = |k: &Knowledge| -> Vec<(u64, u64, (u64, u64))> {
+            let orders = |k: &WaitTable| -> Vec<(u64, u64, (u64, u64))> {
                 let of = |(dest, origins): (&u64, &BTreeMap<u64, Entry>)| {
                     origins.iter().map(|(o, e)| (*dest, *o, e.order)).collect::<Vec<_>>()
                 };
--- a/crates/rights/src/holder.rs
+++ b/crates/rights/src/holder.rs
@@ -1,6 +1,6 @@
 //! A member's side of one limit: what it may use, what it has promised, what it was granted.
 
-use crate::spans::{Micros, Spans};
+use crate::spans::{LeaseDurations, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Offer {
     /// As the keeper asked, by its clock.
-    pub asked: Micros,
+    pub asked_at: Micros,
     /// How much, in place of what it lent before; the keeper may count on the more of both while both last.
     pub amount: u64,
 }
 
 /// What a member says to a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Want {
+pub struct Request {
     /// When, by its clock; comes back with the answer.
-    pub at: Micros,
+    pub sent_at: Micros,
     /// What it wants beyond its floor.
-    pub more: u64,
+    pub extra: u64,
     /// What it lends.
     pub offer: Option<Offer>,
 }
@@ -34,17 +34,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// As the member said.
-    pub at: Micros,
+    pub requested_at: Micros,
     /// How much it may use beyond its floor, in place of what it was granted before.
     pub amount: u64,
     /// When the keeper asks what the member lends, by the keeper's clock.
-    pub asks: Micros,
+    pub asked_at: Micros,
 }
 
 /// A member's side of one limit. Keepers are named by numbers, as the host has them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    spans: Spans,
+    spans: LeaseDurations,
     floor: u64,
     /// Its floor is not its own before: it may have promised it in an earlier life.
     starts: Micros,
@@ -56,8 +56,8 @@
 
 impl Holder {
     /// A member that starts, with its even part of the limit.
-    pub fn new(now: Micros, spans: Spans, floor: u64) -> Self {
-        let starts = now.saturating_add(spans.lend_wide);
+    pub fn new(now: Micros, spans: LeaseDurations, floor: u64) -> Self {
+        let starts = now.saturating_add(spans.loan_max);
         Holder { spans, floor, starts, lent: BTreeMap::new(), grants: BTreeMap::new() }
     }
 
@@ -91,11 +91,11 @@
 
     /// What it says to a keeper, where it needs `demand`. `asks` is the keeper's last question what it lends: with an
     /// answer to it the promise begins, whether or not it comes.
-    pub fn want(&mut self, now: Micros, keeper: u64, demand: u64, asks: Option<Micros>) -> Want {
+    pub fn request(&mut self, now: Micros, keeper: u64, demand: u64, asks: Option<Micros>) -> Request {
         let keep = demand.saturating_mul(KEEP_EIGHTHS) / 8;
         let more = keep.saturating_sub(self.floor);
         let offer = asks.and_then(|asked| self.promise(now, keeper, keep, asked));
-        Want { at: now, more, offer }
+        Request { sent_at: now, extra: more, offer }
     }
 
     fn promise(&mut self, now: Micros, keeper: u64, keep: u64, asked: Micros) -> Option<Offer> {
@@ -112,25 +112,27 @@
         if amount == 0 {
             return None;
         }
-        let until = now.saturating_add(self.spans.lend_wide);
+        let until = now.saturating_add(self.spans.loan_max);
         let promises = self.lent.entry(keeper).or_default();
         // A longer promise of as much or more outweighs the shorter ones.
         promises.retain(|(_, old)| *old > amount);
         promises.push((until, amount));
-        Some(Offer { asked, amount })
+        Some(Offer { asked_at: asked, amount })
     }
 
     /// A keeper's answer. Of two the one that was asked for later counts.
-    pub fn granted(&mut self, now: Micros, keeper: u64, grant: &Grant) {
+    pub fn apply_grant(&mut self, now: Micros, keeper: u64, grant: &Grant) {
         let spans = self.spans;
         self.grants.retain(|_, (at, _)| now < at.saturating_add(spans.grant));
         // What was never asked for is nobody's grant: by the future's clock it would never run out.
-        if grant.at > now || (self.grants.len() >= KEEPERS_MOST && !self.grants.contains_key(&keeper)) {
+        if grant.requested_at > now
+            || (self.grants.len() >= KEEPERS_MOST && !self.grants.contains_key(&keeper))
+        {
             return;
         }
-        let known = self.grants.entry(keeper).or_insert((grant.at, grant.amount));
-        if known.0 <= grant.at {
-            *known = (grant.at, grant.amount);
+        let known = self.grants.entry(keeper).or_insert((grant.requested_at, grant.amount));
+        if known.0 <= grant.requested_at {
+            *known = (grant.requested_at, grant.amount);
         }
     }
 
--- a/crates/rights/src/keeper.rs
+++ b/crates/rights/src/keeper.rs
@@ -1,9 +1,9 @@
 //! Who gathers what members lend and grants it to those that need more. Any member may be one at any time, several at
 //! once too, and it may vanish at any moment: it only ever grants what was promised to itself.
 
-use crate::holder::{Grant, Want};
+use crate::holder::{Grant, Request};
 use crate::plan::water_fill;
-use crate::spans::{Micros, Spans};
+use crate::spans::{LeaseDurations, Micros};
 use std::collections::BTreeMap;
 
 /// A grant that differs from the last one by less than this part (one in so many) is left as it was: it would move
@@ -24,36 +24,36 @@
 
 /// A keeper of one limit. Members are named by numbers, as the host has them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct Coordinator {
     members: BTreeMap<u64, Known>,
     /// It grants nothing before: members may still use what an earlier life of it granted out of the same promises.
     starts: Micros,
 }
 
-impl Keeper {
+impl Coordinator {
     /// A keeper that starts.
-    pub fn new(now: Micros, spans: Spans) -> Self {
-        Keeper { members: BTreeMap::new(), starts: now.saturating_add(spans.grant_wide) }
+    pub fn new(now: Micros, spans: LeaseDurations) -> Self {
+        Coordinator { members: BTreeMap::new(), starts: now.saturating_add(spans.grant_max) }
     }
 
     /// The moment that a member's answer is counted from: to be sent to it.
-    pub fn asks(&self, now: Micros) -> Micros {
+    pub fn ask_time(&self, now: Micros) -> Micros {
         now
     }
 
     /// What is promised for at least as long as a grant that is made now.
-    pub fn pool(&self, now: Micros, spans: Spans) -> u64 {
-        let lasts = now.saturating_add(spans.grant_wide);
+    pub fn pool(&self, now: Micros, spans: LeaseDurations) -> u64 {
+        let lasts = now.saturating_add(spans.grant_max);
         self.members.values().map(|known| most(&known.lent, lasts)).sum()
     }
 
     /// What may be in use of its grants.
-    pub fn out(&self, now: Micros) -> u64 {
+    pub fn outstanding(&self, now: Micros) -> u64 {
         self.members.values().map(|known| most(&known.granted, now)).sum()
     }
 
     /// A member speaks; what it is granted.
-    pub fn want(&mut self, now: Micros, from: u64, want: &Want, spans: Spans) -> Grant {
+    pub fn handle_request(&mut self, now: Micros, from: u64, want: &Request, spans: LeaseDurations) -> Grant {
         for known in self.members.values_mut() {
             known.lent.retain(|(until, _)| now < *until);
             known.granted.retain(|(until, _)| now < *until);
@@ -64,10 +64,10 @@
         }
         self.members.retain(|_, k| k.more > 0 || !k.lent.is_empty() || !k.granted.is_empty());
         let known = self.members.entry(from).or_default();
-        (known.more, known.heard) = (want.more, now);
+        (known.more, known.heard) = (want.extra, now);
         // One that comes late is worth what is left of it; one from the future was never asked for.
-        if let Some(offer) = want.offer.filter(|o| o.asked <= now) {
-            let until = offer.asked.saturating_add(spans.lend);
+        if let Some(offer) = want.offer.filter(|o| o.asked_at <= now) {
+            let until = offer.asked_at.saturating_add(spans.loan);
             // What lasts no longer and is no more adds nothing.
             known.lent.retain(|(old, amount)| *amount > offer.amount || *old > until);
             known.lent.push((until, offer.amount));
@@ -76,15 +76,15 @@
         if amount > 0
             && let Some(known) = self.members.get_mut(&from)
         {
-            let until = now.saturating_add(spans.grant_wide);
+            let until = now.saturating_add(spans.grant_max);
             known.granted.retain(|(_, old)| *old > amount);
             known.granted.push((until, amount));
         }
-        Grant { at: want.at, amount, asks: self.asks(now) }
+        Grant { requested_at: want.sent_at, amount, asked_at: self.ask_time(now) }
     }
 
     /// What a member is to have: its part by the plan, as far as what others may still use leaves room.
-    fn amount(&self, now: Micros, from: u64, spans: Spans) -> u64 {
+    fn amount(&self, now: Micros, from: u64, spans: LeaseDurations) -> u64 {
         if now < self.starts {
             return 0;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Forgets what says nothing of safety: for searches, in which wants come anew each time.
-    pub fn without_wants(&self) -> Self {
+    pub fn without_requests(&self) -> Self {
         let mut same = self.clone();
         same.members.values_mut().for_each(|k| (k.more, k.heard) = (0, 0));
         same.members.retain(|_, k| !k.lent.is_empty() || !k.granted.is_empty());
--- a/crates/rights/src/lib.rs
+++ b/crates/rights/src/lib.rs
@@ -7,16 +7,16 @@
 //! of keepers that know nothing of each other.
 //!
 //! **Why.** A member uses its floor less all that it has promised and that has not run out; a promise runs out for the
-//! member (`wide` of [`Spans::lend`] since it answered) after it does for the keeper (`lend` since it asked, which was
+//! member (`wide` of [`LeaseDurations::lend`] since it answered) after it does for the keeper (`lend` since it asked, which was
 //! before). A keeper counts only promises made to itself. It grants no more than it holds in promises that last longer
-//! than the grant, counting each grant for `wide` of [`Spans::grant`] since it answered, and so for longer than the
+//! than the grant, counting each grant for `wide` of [`LeaseDurations::grant`] since it answered, and so for longer than the
 //! borrower does (`grant` since it asked). So every unit that a borrower uses at an instant is one that some lender
 //! does not use. A member that starts has forgotten its promises: it uses nothing of its floor for `wide` of `lend`.
 //! A keeper that starts has forgotten what it granted out of promises that still last: it grants nothing for `wide` of
 //! `grant`. Nothing has to be on disk.
 //!
 //! **Assumptions.** Clock rates right within `drift`, on clocks that count stops; one process under a name. Rights are
-//! parts of a limit ([`Sharing`]): one that falls binds at once whoever knows of it, and the bound is the largest limit that
+//! parts of a limit ([`SharedLimits`]): one that falls binds at once whoever knows of it, and the bound is the largest limit that
 //! anybody goes by. Members that go by rosters of different sizes have floors whose sum may pass the
 //! limit by the part by which the sizes differ.
 //!
@@ -28,20 +28,20 @@
 //!
 //! ```
 //! use yarrowhill_rights::*;
-//! let spans = Spans::new(1_000_000, 0.01);
+//! let spans = LeaseDurations::new(1_000_000, 0.01);
 //! // Two members of a limit of 10 calls a second, both up for long; the first keeps.
 //! let floor = 5 * CALL;
-//! let (mut keeper, mut busy) = (Keeper::new(0, spans), Holder::new(0, spans, floor));
+//! let (mut keeper, mut busy) = (Coordinator::new(0, spans), Holder::new(0, spans, floor));
 //! let mut idle = Holder::new(0, spans, floor);
 //! let mut now = 10_000_000;
 //! for _ in 0..3 {
 //!     now += 200_000;
-//!     let ask = keeper.asks(now);
-//!     let want = idle.want(now, 1, CALL, Some(ask));
-//!     keeper.want(now, 0, &want, spans);
-//!     let want = busy.want(now, 1, 12 * CALL, None);
-//!     let grant = keeper.want(now, 1, &want, spans);
-//!     busy.granted(now, 1, &grant);
+//!     let ask = keeper.ask_time(now);
+//!     let want = idle.request(now, 1, CALL, Some(ask));
+//!     keeper.handle_request(now, 0, &want, spans);
+//!     let want = busy.request(now, 1, 12 * CALL, None);
+//!     let grant = keeper.handle_request(now, 1, &want, spans);
+//!     busy.apply_grant(now, 1, &grant);
 //! }
 //! let (a, b) = (idle.right(now), busy.right(now));
 //! assert!(b > 8 * CALL && a + b <= 10 * CALL, "{a} {b}");
@@ -58,13 +58,15 @@
 mod spans;
 mod tokens;
 
-pub use holder::{Grant, Holder, Offer, Want};
-pub use keeper::Keeper;
-pub use meter::Meter;
+pub use holder::{Grant, Holder, Offer, Request};
+pub use keeper::Coordinator;
+pub use meter::RateMeter;
 pub use plan::water_fill;
-pub use sharing::{Letter, Limit, LimitStatus, Refusals, Sharing, WORDS_MOST, Word, further_attempts};
-pub use spans::{Micros, Spans};
-pub use tokens::Tokens;
+pub use sharing::{
+    Envelope, Limit, LimitStatus, MAX_PAYLOADS, Payload, Refusals, SharedLimits, retry_limit_id,
+};
+pub use spans::{LeaseDurations, Micros};
+pub use tokens::TokenBucket;
 
 /// One call a second, in the unit of all rights: whole numbers, so that sums are exact.
 pub const CALL: u64 = 1_000_000;
--- a/crates/rights/src/meter.rs
+++ b/crates/rights/src/meter.rs
@@ -4,16 +4,16 @@
 
 /// Calls a second that were lately asked for, fading by half in each `half` (microseconds).
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct RateMeter {
     half: f64,
     count: f64,
     at: Micros,
 }
 
-impl Meter {
+impl RateMeter {
     /// Nothing asked yet.
     pub fn new(now: Micros, half: Micros) -> Self {
-        Meter { half: (half as f64).max(1.0), count: 0.0, at: now }
+        RateMeter { half: (half as f64).max(1.0), count: 0.0, at: now }
     }
 
     fn faded(&self, now: Micros) -> f64 {
@@ -21,7 +21,7 @@
     }
 
     /// One more was asked for.
-    pub fn asked(&mut self, now: Micros) {
+    pub fn record(&mut self, now: Micros) {
         self.count = self.faded(now) + 1.0;
         self.at = self.at.max(now);
     }
@@ -38,8 +38,8 @@
 
     #[test]
     fn it_tells_what_is_asked_and_forgets_it() {
-        let mut meter = Meter::new(0, 500_000);
-        (0..200).for_each(|n| meter.asked(n * 25_000));
+        let mut meter = RateMeter::new(0, 500_000);
+        (0..200).for_each(|n| meter.record(n * 25_000));
         let rate = meter.rate(199 * 25_000);
         assert!((38.0..43.0).contains(&rate), "{rate}");
         assert!(meter.rate(199 * 25_000 + 5_000_000) < 0.1);
--- a/crates/rights/src/tokens.rs
+++ b/crates/rights/src/tokens.rs
@@ -10,21 +10,21 @@
 /// tenth of a second of the right at most: so over any span `w` a member calls at most its right times `w` and
 /// that, and a fleet at most its limit times `w` and a tenth of a second, and one call a member.
 #[derive(Clone, Debug, Default)]
-pub struct Tokens {
+pub struct TokenBucket {
     held: u64,
     filled: Micros,
     right: u64,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// An empty one: a start brings no calls.
     pub fn new(now: Micros) -> Self {
-        Tokens { held: 0, filled: now, right: 0 }
+        TokenBucket { held: 0, filled: now, right: 0 }
     }
 
     /// Fills by the right that held since the last look, or the one that holds now if that is less: a right that ran out
     /// while nobody looked has filled nothing since.
-    pub fn look(&mut self, now: Micros, right: u64) {
+    pub fn refill(&mut self, now: Micros, right: u64) {
         let span = now.saturating_sub(self.filled);
         let by = self.right.min(right);
         let gained = u128::from(by) * u128::from(span) / u128::from(CALL);
@@ -34,13 +34,13 @@
     }
 
     /// Whether there is a call to take.
-    pub fn has(&self) -> bool {
+    pub fn has_token(&self) -> bool {
         self.held >= WHOLE
     }
 
     /// Takes a call if there is one.
     pub fn take(&mut self) -> bool {
-        let there = self.has();
+        let there = self.has_token();
         if there {
             self.held -= WHOLE;
         }
@@ -48,7 +48,7 @@
     }
 
     /// When there will be one if the right stays, for one that looked just now.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_token_at(&self) -> Option<Micros> {
         let lacks = WHOLE.saturating_sub(self.held);
         (self.right > 0).then(|| {
             let span = u128::from(lacks) * u128::from(CALL) / u128::from(self.right);
@@ -63,31 +63,31 @@
 
     #[test]
     fn calls_follow_the_right() {
-        let mut tokens = Tokens::new(0);
+        let mut tokens = TokenBucket::new(0);
         let mut calls = 0;
         for now in (0..10_000_000).step_by(10_000) {
-            tokens.look(now, 7 * CALL);
+            tokens.refill(now, 7 * CALL);
             while tokens.take() {
                 calls += 1;
             }
         }
         assert!((68..=70).contains(&calls), "{calls}");
         // Less than one call in two minutes: in the end there is one.
-        let mut slow = Tokens::new(0);
-        slow.look(0, CALL / 150);
-        assert!(slow.next().is_some_and(|at| (149_000_000..151_000_000).contains(&at)));
-        slow.look(100_000_000, CALL / 150);
+        let mut slow = TokenBucket::new(0);
+        slow.refill(0, CALL / 150);
+        assert!(slow.next_token_at().is_some_and(|at| (149_000_000..151_000_000).contains(&at)));
+        slow.refill(100_000_000, CALL / 150);
         assert!(!slow.take());
-        slow.look(151_000_000, CALL / 150);
+        slow.refill(151_000_000, CALL / 150);
         assert!(slow.take() && !slow.take());
     }
 
     #[test]
     fn a_right_that_ran_out_unseen_fills_nothing() {
-        let mut tokens = Tokens::new(0);
-        tokens.look(0, 100 * CALL);
+        let mut tokens = TokenBucket::new(0);
+        tokens.refill(0, 100 * CALL);
         // Stopped for a minute; its right is gone.
-        tokens.look(60_000_000, 0);
+        tokens.refill(60_000_000, 0);
         assert!(!tokens.take());
     }
 }
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
 use yarrowhill_engine::{CallWent, Gate, Input};
-use yarrowhill_fleet::{Document, Ended, Handle, Node, Options, Ramp, Wish, read, serve};
+use yarrowhill_fleet::{CallOutcome, Document, Handle, Node, Options, SlowStart, Wish, read, serve};
 use yarrowhill_policy::api::DestId;
 
 /// The control socket's name in the state folder.
@@ -44,9 +44,9 @@
             // A short wait comes from a limit that others use up, and would make all give way in step; a long one from a
             // shut door, which is one for all.
             CallWent::Wait(wait) if wait >= self.shut => return self.handle.told_wait(dest, wait),
-            CallWent::Wait(_) | CallWent::Refused => Ended::Refused,
-            CallWent::Served => Ended::Served,
-            CallWent::Failed => Ended::Failed,
+            CallWent::Wait(_) | CallWent::Refused => CallOutcome::Refused,
+            CallWent::Served => CallOutcome::Served,
+            CallWent::Failed => CallOutcome::Failed,
         };
         self.handle.ended(dest, took, how);
     }
@@ -154,11 +154,15 @@
 
 /// How destinations come back, by the settings. One tries so often that a call and the word of it have had their time: within
 /// the shortest aim, or two probe periods.
-fn ramp(config: &Config, document: &Document) -> Ramp {
+fn ramp(config: &Config, document: &Document) -> SlowStart {
     let settings = &config.settings;
     let aims = settings.classes.iter().map(|class| class.aim.unsigned_abs()).filter(|aim| *aim > 0);
     let turn = aims.min().unwrap_or(0).max(document.timing.period * 2);
-    Ramp { turn, warm: settings.warm_after.unsigned_abs(), start: settings.start_capacity }
+    SlowStart {
+        probe_interval: turn,
+        warm_up: settings.warm_after.unsigned_abs(),
+        initial_fraction: settings.start_capacity,
+    }
 }
 
 fn document(path: &Path, name: &str) -> Result<Document, RunError> {
--- a/crates/yarrowhill/src/operate.rs
+++ b/crates/yarrowhill/src/operate.rs
@@ -97,7 +97,7 @@
             text,
             "{:>11} {:>7.1} s {:>7.1} s {}",
             known.dest,
-            seconds(known.left),
+            seconds(known.remaining),
             seconds(known.age),
             origin_name.as_deref().unwrap_or("?")
         );
@@ -107,7 +107,7 @@
     }
     for NamedOutage { outage, found_names, tries_name } in &status.outages {
         let since = outage.since as f64 / 1e6;
-        let _ = match outage.part {
+        let _ = match outage.capacity_fraction {
             0.0 => writeln!(
                 text,
                 "{:>11} is down for {since:.1} s, found by {}; {} tries",
@@ -147,7 +147,7 @@
                 );
             } else {
                 if let Some(NamedOutage { outage, tries_name, .. }) = outage {
-                    match (outage.part, tries_name.as_deref().unwrap_or("whoever has calls")) {
+                    match (outage.capacity_fraction, tries_name.as_deref().unwrap_or("whoever has calls")) {
                         (0.0, tries) => {
                             println!("{dest}: down; {tries} tries, and the others go by its word")
                         }
@@ -172,14 +172,25 @@
             "{dest}: told {} to wait, heard {:.1} s ago; held for {:.1} s more, unless it serves a call of ours",
             origin_name.as_deref().unwrap_or("somebody"),
             known.age as f64 / 1e6,
-            known.left as f64 / 1e6
+            known.remaining as f64 / 1e6
         );
     }
     let Some(NamedLimit { limit, keeper_name }) = limit else {
         let _ = writeln!(text, "{dest}: no limit that is shared; the module decides alone");
         return text;
     };
-    let LimitStatus { calls, right, floor, lent, borrowed, demand, starts_ms, begun, held, .. } = limit;
+    let LimitStatus {
+        calls,
+        right,
+        floor,
+        lent,
+        borrowed,
+        demand,
+        floor_usable_in_ms: starts_ms,
+        begun,
+        delayed: held,
+        ..
+    } = limit;
     let _ = writeln!(
         text,
         "{dest}: {calls:.2} calls a second for all, {right:.2} of them here, {demand:.2} asked for"
@@ -234,22 +245,22 @@
         "destination", "limit", "may send", "floor", "lent", "borrowed", "demand", "begun", "held back"
     );
     for NamedLimit { limit, keeper_name } in &status.limits {
-        let LimitStatus { calls, right, floor, lent, borrowed, demand, begun, held, .. } = limit;
+        let LimitStatus { calls, right, floor, lent, borrowed, demand, begun, delayed: held, .. } = limit;
         let _ = write!(
             text,
             "{:>11} {calls:>9.2} {right:>9.2} {floor:>9.2} {lent:>9.2} {borrowed:>9.2} {demand:>9.2} {begun:>9} {held:>9} {}",
             limit.limit,
             keeper_name.as_deref().unwrap_or("-")
         );
-        if let Some([out, pool]) = limit.keeps {
+        if let Some([out, pool]) = limit.coordinated {
             let _ = write!(text, ", keeps {pool:.2} and grants {out:.2}");
         }
-        if limit.starts_ms > 0 {
-            let _ = write!(text, ", its floor from {:.1} s on", limit.starts_ms as f64 / 1000.0);
+        if limit.floor_usable_in_ms > 0 {
+            let _ = write!(text, ", its floor from {:.1} s on", limit.floor_usable_in_ms as f64 / 1000.0);
         }
         text.push('\n');
     }
-    let Refusals { unknown, stale, absurd } = status.refused;
+    let Refusals { unknown, stale, excessive: absurd } = status.refused;
     if status.refused != Refusals::default() {
         let _ = writeln!(
             text,
