--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
 use yarrowhill_engine::{CallWent, Gate, Input};
-use yarrowhill_fleet::{Document, Ended, Handle, Node, OperatorRequest, Options, Ramp, read, serve};
+use yarrowhill_fleet::{
+    CallOutcome, Document, Handle, Node, OperatorRequest, Options, SlowStart, read, serve,
+};
 use yarrowhill_policy::api::DestId;
 
 /// The control socket's name in the state folder.
@@ -44,9 +46,9 @@
             // A short wait comes from a limit that others use up, and would make all give way in step; a long one from a
             // shut door, which is one for all.
             CallWent::Wait(wait) if wait >= self.shut => return self.handle.told_wait(dest, wait),
-            CallWent::Wait(_) | CallWent::Refused => Ended::Refused,
-            CallWent::Served => Ended::Served,
-            CallWent::Failed => Ended::Failed,
+            CallWent::Wait(_) | CallWent::Refused => CallOutcome::Refused,
+            CallWent::Served => CallOutcome::Served,
+            CallWent::Failed => CallOutcome::Failed,
         };
         self.handle.ended(dest, took, how);
     }
@@ -154,12 +156,16 @@
 
 /// How destinations come back, by the settings. One tries so often that a call and the word of it have had their time: within
 /// the shortest aim, or two probe periods.
-fn ramp(config: &Config, document: &Document) -> Ramp {
+fn ramp(config: &Config, document: &Document) -> SlowStart {
     let settings = &config.settings;
     let aims =
         settings.classes.iter().map(|class| class.target_latency.unsigned_abs()).filter(|aim| *aim > 0);
     let turn = aims.min().unwrap_or(0).max(document.timing.period * 2);
-    Ramp { turn, warm: settings.warm_up_duration.unsigned_abs(), start: settings.initial_capacity_share }
+    SlowStart {
+        probe_interval: turn,
+        warm_up: settings.warm_up_duration.unsigned_abs(),
+        initial_fraction: settings.initial_capacity_share,
+    }
 }
 
 fn document(path: &Path, name: &str) -> Result<Document, RunError> {
