--- a/crates/attack/src/bin/attack.rs
+++ b/crates/attack/src/bin/attack.rs
@@ -8,7 +8,7 @@
     measure_duties, measure_replaced, measure_return, measure_rights, measure_shares, plain, play,
     play_duties, play_return, play_rights,
 };
-use yarrowhill_kernel::{Found, search};
+use yarrowhill_kernel::{SearchResult, search};
 
 /// Attacks the packages without I/O, clocks and chance.
 #[derive(Parser)]
@@ -241,8 +241,8 @@
     found
 }
 
-fn told<S: std::fmt::Debug>(what: &str, found: &Found<S>) -> bool {
-    let Found { states, depth, complete, breach } = found;
+fn told<S: std::fmt::Debug>(what: &str, found: &SearchResult<S>) -> bool {
+    let SearchResult { states, depth, complete, violation: breach } = found;
     println!("{what}: {states} states, {depth} deep, {}", if *complete { "complete" } else { "cut off" });
     if let Some((way, breach)) = breach {
         println!("  {breach}, by:");
--- a/crates/attack/src/duties.rs
+++ b/crates/attack/src/duties.rs
@@ -11,7 +11,7 @@
     Ask, Candidate, Decided, Duties, Duty, Electorate, Event, Kept, Lease, Letter, Life, Output, Post,
     Reason, Seeker, Setting, Standing, Stored, Voter, Write,
 };
-use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start, World};
+use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault, World};
 
 /// Three voters and two candidates. Anything may happen that the assumptions allow: questions are answered at any later time, or
 /// the answer is lost; one word that was written long ago comes once more; voters start again, one of them with an older copy of its
@@ -145,7 +145,7 @@
     type State = DutyState;
     type Step = DutyStep;
 
-    fn begins(&self) -> Vec<DutyState> {
+    fn initial_states(&self) -> Vec<DutyState> {
         let lease = self.lease();
         let voter = |n: usize| {
             // All have voted for long, and nothing was decided.
@@ -171,7 +171,7 @@
             broken: None,
         };
         // The first candidate has been promised its ballot by two or by all: which two is the same but for their names.
-        [0b011, 0b111].map(|mask| self.take(&begun, &DutyStep::Begin(0, mask))).into()
+        [0b011, 0b111].map(|mask| self.apply(&begun, &DutyStep::Begin(0, mask))).into()
     }
 
     fn steps(&self, s: &DutyState) -> Vec<DutyStep> {
@@ -219,7 +219,7 @@
         steps
     }
 
-    fn take(&self, state: &DutyState, step: &DutyStep) -> DutyState {
+    fn apply(&self, state: &DutyState, step: &DutyStep) -> DutyState {
         let mut s = state.clone();
         let (lease, electorate) = (self.lease(), Self::electorate());
         let setting = Setting { lease, voters: &electorate, rank: Some(0), chance: 0 };
@@ -317,7 +317,7 @@
         s
     }
 
-    fn breach(&self, s: &DutyState) -> Option<String> {
+    fn violation(&self, s: &DutyState) -> Option<String> {
         if let Some(broken) = s.broken {
             return Some(broken.to_owned());
         }
@@ -504,7 +504,7 @@
         self.collect(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Letter)> {
+    fn take_outgoing(&mut self) -> Vec<(usize, Letter)> {
         std::mem::take(&mut self.out)
     }
 
@@ -538,7 +538,7 @@
         let mut fleet = Fleet::new(seed, Links::default(), size);
         for n in 0..members {
             let rate = 1.0 + DRIFT * (2.0 * n as f64 / (members.max(2) - 1) as f64 - 1.0);
-            fleet.place(Start { offset: n as u64 * 1_000_003 + 10_000_000, rate });
+            fleet.add_slot(Clock { offset: n as u64 * 1_000_003 + 10_000_000, rate });
         }
         let electors = if members <= 7 { members } else { 7 };
         Scene {
@@ -560,7 +560,7 @@
     fn start(&mut self, n: usize) {
         let mut disk = std::mem::take(&mut self.disks[n]);
         disk.full = false;
-        let now = self.fleet.clock(n);
+        let now = self.fleet.local_time(n);
         self.started[n] = self.fleet.now();
         self.boots[n] += 1;
         self.lives[n] += 1;
@@ -599,7 +599,7 @@
                 self.copied.remove(&n);
             }
         }
-        self.fleet.act(&Act::Kill(n));
+        self.fleet.inject(&ProcessFault::Kill(n));
     }
 
     /// Who is there, as all are told.
@@ -611,7 +611,7 @@
                 .map(|m| Candidate { member: *m as u64, zone: String::new(), poor: false })
                 .collect();
             let may = self.voters.is_majority(|id| there.contains(&(id as usize)));
-            let now = self.fleet.clock(n);
+            let now = self.fleet.local_time(n);
             if let Some(member) = self.fleet.member_mut(n) {
                 member.duties.set_there(now, candidates, may);
             }
@@ -632,7 +632,7 @@
         // Also those that are stopped: at this moment they could wake in the midst of an act.
         let held = |n: usize| {
             let member = self.fleet.member(n)?;
-            Some((n, member.duties.held(self.fleet.clock(n), duty)?.token))
+            Some((n, member.duties.held(self.fleet.local_time(n), duty)?.token))
         };
         (0..self.size).filter_map(held).collect()
     }
@@ -683,14 +683,14 @@
             scene.fleet.member(*n).is_none_or(|m| m.duties.vote_status() != yarrowhill_duties::Vote::Votes)
         });
         match rng.random_range(0..13) {
-            0 => scene.fleet.links.islands(&all.iter().map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
-            1 => scene.fleet.links.cut(one, (one + 1) % members, true),
+            0 => scene.fleet.links.partition(&all.iter().map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
+            1 => scene.fleet.links.set_cut(one, (one + 1) % members, true),
             2 => scene.fleet.links.heal(),
             3 => {
                 let (loss, jitter) = (rng.random_range(0.0..0.3), rng.random_range(200..PERIOD));
-                scene.fleet.links.all = Link { loss, twice: 0.1, delay: 100, jitter, cut: false };
+                scene.fleet.links.default = Link { loss, duplication: 0.1, delay: 100, jitter, cut: false };
             }
-            4 | 5 => scene.fleet.act(&Act::Stall(one, rng.random_range(HOLD / 3..4 * HOLD))),
+            4 | 5 => scene.fleet.inject(&ProcessFault::Stall(one, rng.random_range(HOLD / 3..4 * HOLD))),
             6 | 7 => scene.kill(one),
             8 if scene.fleet.member(one).is_none() => {
                 if scene.copied.contains(&one) {
@@ -756,7 +756,7 @@
                 } else {
                     yarrowhill_duties::Wish::Pin(Some(rng.random_range(0..members) as u64))
                 };
-                let (now, name) = (scene.fleet.clock(one), scene.names[0].name.clone());
+                let (now, name) = (scene.fleet.local_time(one), scene.names[0].name.clone());
                 scene.fleet.member_mut(one).into_iter().for_each(|m| drop(m.duties.wish(now, &name, wish)));
             }
         }
@@ -846,13 +846,13 @@
         let others: Vec<usize> = all.iter().copied().filter(|n| *n != holder).collect();
         match ending {
             Ending::Killed => scene.kill(holder),
-            Ending::Stopped => scene.fleet.act(&Act::Stall(holder, 6 * HOLD)),
+            Ending::Stopped => scene.fleet.inject(&ProcessFault::Stall(holder, 6 * HOLD)),
             Ending::Cut => {
                 let islands: Vec<usize> = all.iter().map(|n| usize::from(*n == holder)).collect();
-                scene.fleet.links.islands(&islands);
+                scene.fleet.links.partition(&islands);
             }
             Ending::Asked => {
-                let (now, name) = (scene.fleet.clock(holder), scene.names[0].name.clone());
+                let (now, name) = (scene.fleet.local_time(holder), scene.names[0].name.clone());
                 let wish = yarrowhill_duties::Wish::Yield;
                 scene
                     .fleet
--- a/crates/attack/src/measure.rs
+++ b/crates/attack/src/measure.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
-use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start};
+use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault};
 use yarrowhill_membership::{Health, Incarnation, Timing};
 
 /// How fine times are (microseconds).
@@ -45,9 +45,9 @@
 /// Kills `deaths` members of a fleet of `size`, one after another, and lets each come back. Of the fleet `slow` in
 /// ten are stopped again and again for up to a period and a half.
 pub fn measure(size: usize, loss: f64, slow: usize, deaths: usize, seed: u64) -> Figures {
-    let mut timing = Timing::of(PERIOD);
-    timing.confirm = size <= 64;
-    let links = Links::all(Link { loss, ..Link::default() });
+    let mut timing = Timing::from_period(PERIOD);
+    timing.collect_support = size <= 64;
+    let links = Links::uniform(Link { loss, ..Link::default() });
     let mut world = World::new(size, timing, links, seed);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     (0..size).for_each(|n| world.start(n));
@@ -60,7 +60,7 @@
                 believed(world, dead, &mut wrong);
                 for n in (0..size).filter(|n| slowed(*n)) {
                     if rng.random_bool(0.3) {
-                        world.fleet.act(&Act::Stall(n, rng.random_range(0..PERIOD * 3 / 2)));
+                        world.fleet.inject(&ProcessFault::Stall(n, rng.random_range(0..PERIOD * 3 / 2)));
                     }
                 }
             }
@@ -117,8 +117,8 @@
 /// Replaces half of a fleet within ten periods, each with an empty folder, and tells how long after that all hold the one
 /// view of everybody (milliseconds of the world).
 pub fn measure_replaced(size: usize, seed: u64) -> Option<u64> {
-    let mut timing = Timing::of(PERIOD);
-    timing.confirm = size <= 64;
+    let mut timing = Timing::from_period(PERIOD);
+    timing.collect_support = size <= 64;
     let mut world = World::new(size, timing, Links::default(), seed);
     (0..size).for_each(|n| world.start(n));
     world.fleet.run_until(60 * PERIOD);
@@ -136,7 +136,7 @@
         world.fleet.run_until(next);
         let views: Vec<_> = (0..size).filter_map(|n| world.fleet.member(n)).map(|s| s.core.view()).collect();
         let all = |view: &&yarrowhill_membership::View| {
-            let boots = |n: usize| world.fleet.member(n).map(|s| s.core.record().inc.boot);
+            let boots = |n: usize| world.fleet.member(n).map(|s| s.core.local_record().incarnation.boot);
             (0..size).all(|n| view.members.get(&world.ids[n]).copied() == boots(n))
         };
         if views.iter().all(|view| view.id == views[0].id) && views.first().is_some_and(all) {
@@ -155,9 +155,12 @@
             let live = |n: &usize| Some(*n) != dead && world.fleet.member(*n).is_some();
             if let Some(n) = world.number(id).filter(live)
                 // What was said of an earlier life of one that is there again was true.
-                && world.fleet.member(n).is_some_and(|m| m.core.record().inc.boot == entry.record.inc.boot)
+                && world
+                    .fleet
+                    .member(n)
+                    .is_some_and(|m| m.core.local_record().incarnation.boot == entry.record.incarnation.boot)
             {
-                wrong.insert((n, entry.record.inc));
+                wrong.insert((n, entry.record.incarnation));
             }
         }
     }
@@ -191,7 +194,7 @@
         self.heard[from] = now;
     }
 
-    fn sends(&mut self) -> Vec<(usize, ())> {
+    fn take_outgoing(&mut self) -> Vec<(usize, ())> {
         std::mem::take(&mut self.out)
     }
 
@@ -202,11 +205,11 @@
 
 /// The same deaths with plain heartbeats: time until all know, and bytes a member sends a second.
 pub fn plain(size: usize, loss: f64, deaths: usize, seed: u64) -> (Histogram<u64>, f64) {
-    let links = Links::all(Link { loss, ..Link::default() });
+    let links = Links::uniform(Link { loss, ..Link::default() });
     let mut fleet: Fleet<Plain> = Fleet::new(seed, links, |()| HEARTBEAT);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for me in 0..size {
-        fleet.place(Start { offset: 0, rate: 1.0 });
+        fleet.add_slot(Clock { offset: 0, rate: 1.0 });
         let next = rng.random_range(0..PERIOD);
         fleet.start(me, Plain { me, heard: vec![0; size], next, out: Vec::new() });
     }
@@ -218,7 +221,7 @@
     for _ in 0..deaths {
         let dead = rng.random_range(0..size);
         let at = fleet.now();
-        fleet.act(&Act::Kill(dead));
+        fleet.inject(&ProcessFault::Kill(dead));
         loop {
             let next = fleet.now() + STEP;
             fleet.run_until(next);
--- a/crates/attack/src/member.rs
+++ b/crates/attack/src/member.rs
@@ -3,8 +3,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use yarrowhill_fleet::{PACKET_MOST, WHOLE_MOST, encode};
-use yarrowhill_kernel::{Fleet, Links, Member, Micros, Start};
-use yarrowhill_membership::{Event, Life, MemberId, Membership, Output, Packet, Roster, Seat, Timing, Whole};
+use yarrowhill_kernel::{Clock, Fleet, Links, Member, Micros};
+use yarrowhill_membership::{
+    Event, FullState, InstanceId, MemberConfig, MemberId, Membership, Output, Packet, Roster, Timing,
+};
 
 /// What goes over the network.
 #[derive(Clone, Debug)]
@@ -12,9 +14,9 @@
     /// By UDP.
     Packet(Packet),
     /// By TCP: a whole view that wants an answer,
-    Whole(Box<Whole>),
+    Whole(Box<FullState>),
     /// and the answer.
-    Answer(Box<Whole>),
+    Answer(Box<FullState>),
 }
 
 /// The bytes of a message.
@@ -70,10 +72,10 @@
             && self.folder.write(boot)
         {
             self.owed = None;
-            self.core.persisted(now, boot);
+            self.core.boot_persisted(now, boot);
         }
         loop {
-            let outputs = self.core.outputs();
+            let outputs = self.core.take_outputs();
             if outputs.is_empty() {
                 return;
             }
@@ -83,10 +85,12 @@
                         self.out.extend(self.numbers.get(&to).map(|n| (*n, Msg::Packet(packet))));
                     }
                     Output::Sync { with } => {
-                        let whole = Box::new(self.core.whole());
+                        let whole = Box::new(self.core.full_state());
                         self.out.extend(self.numbers.get(&with).map(|n| (*n, Msg::Whole(whole))));
                     }
-                    Output::Persist { boot } if self.folder.write(boot) => self.core.persisted(now, boot),
+                    Output::Persist { boot } if self.folder.write(boot) => {
+                        self.core.boot_persisted(now, boot)
+                    }
                     Output::Persist { boot } => self.owed = Some(boot),
                     Output::Event(event) => self.events.push((now, event)),
                 }
@@ -107,16 +111,16 @@
         match packet {
             Msg::Packet(packet) => self.core.handle(now, packet),
             Msg::Whole(whole) => {
-                if self.core.take_whole(now, *whole) {
-                    self.out.push((from, Msg::Answer(Box::new(self.core.whole()))));
+                if self.core.merge_full_state(now, *whole) {
+                    self.out.push((from, Msg::Answer(Box::new(self.core.full_state()))));
                 }
             }
-            Msg::Answer(whole) => drop(self.core.take_whole(now, *whole)),
+            Msg::Answer(whole) => drop(self.core.merge_full_state(now, *whole)),
         }
         self.collect(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Msg)> {
+    fn take_outgoing(&mut self) -> Vec<(usize, Msg)> {
         std::mem::take(&mut self.out)
     }
 
@@ -147,20 +151,20 @@
     /// within the timing's drift, one at each end and the others between.
     pub fn new(size: usize, timing: Timing, links: Links, seed: u64) -> Self {
         let names: Vec<String> = (0..size).map(|n| format!("n{n}")).collect();
-        let seat = |(n, name): (usize, &String)| Seat {
+        let seat = |(n, name): (usize, &String)| MemberConfig {
             name: name.clone(),
             zone: format!("z{}", n % 3),
             votes: None,
         };
         let list = names.iter().enumerate().map(seat).collect();
         let roster = Roster::new(1, list).unwrap_or_else(|e| unreachable!("{e}"));
-        let ids: Vec<MemberId> = names.iter().map(|name| MemberId::of(name)).collect();
+        let ids: Vec<MemberId> = names.iter().map(|name| MemberId::from_name(name)).collect();
         let numbers = Rc::new(ids.iter().enumerate().map(|(n, id)| (*id, n)).collect());
         let mut fleet = Fleet::new(seed, links, self::size);
         for n in 0..size {
             let rate = 1.0 + timing.drift * (2.0 * n as f64 / (size.max(2) - 1) as f64 - 1.0);
             let offset = (n as u64 * 7_919_000_000 + seed * 104_729) % 86_400_000_000;
-            fleet.place(Start { offset, rate });
+            fleet.add_slot(Clock { offset, rate });
         }
         let folders = vec![Folder::default(); size];
         World { fleet, names, folders, ids, roster, timing, numbers, lives: 0, seed }
@@ -174,8 +178,8 @@
             return;
         };
         self.lives += 1;
-        let (now, name) = (self.fleet.clock(number), &self.names[number]);
-        let (life, seed) = (Life(self.lives), self.seed ^ (self.lives << 20));
+        let (now, name) = (self.fleet.local_time(number), &self.names[number]);
+        let (life, seed) = (InstanceId(self.lives), self.seed ^ (self.lives << 20));
         let core = Membership::new(now, self.roster.clone(), name, boot, life, self.timing, seed)
             .unwrap_or_else(|e| unreachable!("{e}"));
         let (numbers, events) = (self.numbers.clone(), Vec::new());
@@ -188,7 +192,7 @@
         if let Some(seated) = self.fleet.member(number) {
             self.folders[number] = seated.folder.clone();
         }
-        self.fleet.act(&yarrowhill_kernel::Act::Kill(number));
+        self.fleet.inject(&yarrowhill_kernel::ProcessFault::Kill(number));
     }
 
     /// The number of a member.
--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::rc::Rc;
 use yarrowhill_fleet::{NEWS_WORDS, TOLD_WORDS, Told, encode_findings, encode_letter, encode_told};
-use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start};
+use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault};
 use yarrowhill_knowledge::{Ended, Judgement, Leave, Newcomer, Outages, Ramp};
 use yarrowhill_rights::{CALL, Letter, Limit, Sharing, Spans};
 
@@ -267,7 +267,7 @@
         self.work(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Msg)> {
+    fn take_outgoing(&mut self) -> Vec<(usize, Msg)> {
         std::mem::take(&mut self.sends)
     }
 
@@ -302,8 +302,8 @@
         let mut fleet = Fleet::new(seed, Links::default(), size);
         for n in 0..members {
             let clock = 1.0 + DRIFT * (2.0 * n as f64 / (members.max(2) - 1) as f64 - 1.0);
-            fleet.place(Start { offset: n as u64 * 1_000_003 + 10_000_000, rate: clock });
-            let now = fleet.clock(n);
+            fleet.add_slot(Clock { offset: n as u64 * 1_000_003 + 10_000_000, rate: clock });
+            let now = fleet.local_time(n);
             let life = seed * 1000 + n as u64 + 1;
             fleet.start(n, Caller::new(n, now, members, way, rate(n), life, false, partner.clone()));
         }
@@ -410,9 +410,9 @@
     let rate = 0.9 * LIMIT as f64 / members as f64;
     let mut world = World::new(members, Way::Together, seed, |_| rate);
     let loss = rng.random_range(0.0..0.5);
-    world.fleet.links = Links::all(Link {
+    world.fleet.links = Links::uniform(Link {
         loss,
-        twice: 0.05,
+        duplication: 0.05,
         delay: 300,
         jitter: rng.random_range(200..PERIOD / 4),
         cut: false,
@@ -424,13 +424,13 @@
     let late = rng.random_range(0..members);
     let starts = down + 6 * PERIOD + rng.random_range(0..(back - down).saturating_sub(8 * PERIOD).max(1));
     world.run_until(down - 2 * PERIOD);
-    world.fleet.act(&Act::Kill(late));
+    world.fleet.inject(&ProcessFault::Kill(late));
     if members > 3 && rng.random_bool(0.5) {
         let stopped = (late + 1) % members;
-        world.fleet.act(&Act::Stall(stopped, rng.random_range(PERIOD..8 * PERIOD)));
+        world.fleet.inject(&ProcessFault::Stall(stopped, rng.random_range(PERIOD..8 * PERIOD)));
     }
     world.run_until(starts);
-    let now = world.fleet.clock(late);
+    let now = world.fleet.local_time(late);
     let life = seed * 1000 + 900;
     let newcomer = Caller::new(late, now, members, Way::Together, rate, life, true, world.partner.clone());
     world.fleet.start(late, newcomer);
--- a/crates/attack/src/rights.rs
+++ b/crates/attack/src/rights.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use yarrowhill_fleet::encode_letter;
-use yarrowhill_kernel::{Act, Fleet, Link, Links, Member, Micros, Start, World};
+use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault, World};
 use yarrowhill_rights::{CALL, Holder, Keeper, Letter, Limit, Sharing, Spans, Want};
 
 /// A member that lends, others that borrow, and two keepers that know nothing of each other. Anything may happen that the
@@ -97,7 +97,7 @@
     type State = RightsState;
     type Step = RightsStep;
 
-    fn begins(&self) -> Vec<RightsState> {
+    fn initial_states(&self) -> Vec<RightsState> {
         // All have run for long.
         let holder = Holder::new(0, self.spans(), FLOOR).rebased(NOW, 0);
         let keeper = Keeper::new(0, self.spans()).rebased(NOW, 0);
@@ -119,7 +119,7 @@
         steps
     }
 
-    fn take(&self, state: &RightsState, step: &RightsStep) -> RightsState {
+    fn apply(&self, state: &RightsState, step: &RightsStep) -> RightsState {
         let mut next = state.clone();
         let spans = self.spans();
         match *step {
@@ -158,7 +158,7 @@
         next
     }
 
-    fn breach(&self, state: &RightsState) -> Option<String> {
+    fn violation(&self, state: &RightsState) -> Option<String> {
         let rights: Vec<u64> = state.holders.iter().map(|h| h.right(NOW)).collect();
         let sum: u64 = rights.iter().sum();
         (sum > self.limit()).then(|| format!("{rights:?} in use, of {}", self.limit()))
@@ -259,7 +259,7 @@
         self.call(now);
     }
 
-    fn sends(&mut self) -> Vec<(usize, Letter)> {
+    fn take_outgoing(&mut self) -> Vec<(usize, Letter)> {
         std::mem::take(&mut self.out)
     }
 
@@ -282,8 +282,8 @@
     let mut fleet = Fleet::new(seed, Links::default(), size);
     for n in 0..members {
         let clock = 1.0 + DRIFT * (2.0 * n as f64 / (members.max(2) - 1) as f64 - 1.0);
-        fleet.place(Start { offset: n as u64 * 1_000_003 + 10_000_000, rate: clock });
-        let now = fleet.clock(n);
+        fleet.add_slot(Clock { offset: n as u64 * 1_000_003 + 10_000_000, rate: clock });
+        let now = fleet.local_time(n);
         fleet.start(n, Sharer::new(n, now, members, limit(LIMIT, even), rate(n), n as u64 + 1));
     }
     fleet
@@ -291,7 +291,7 @@
 
 /// What all may use now; one that is stopped could wake at this moment.
 fn rights(fleet: &Fleet<Sharer>) -> u64 {
-    let right = |n| fleet.member(n).and_then(|m| m.sharing.right(fleet.clock(n), DEST)).unwrap_or(0);
+    let right = |n| fleet.member(n).and_then(|m| m.sharing.right(fleet.local_time(n), DEST)).unwrap_or(0);
     (0..fleet.len()).map(right).sum()
 }
 
@@ -318,19 +318,19 @@
     while fleet.now() < 60 * GRANT {
         let one = rng.random_range(0..members);
         match rng.random_range(0..10) {
-            0 => fleet.links.islands(&(0..members).map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
+            0 => fleet.links.partition(&(0..members).map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
             1 => fleet.links.heal(),
             2 => {
                 let (loss, jitter) = (rng.random_range(0.0..0.5), rng.random_range(0..GRANT));
-                fleet.links.all = Link { loss, twice: 0.1, delay: 100, jitter, cut: false };
+                fleet.links.default = Link { loss, duplication: 0.1, delay: 100, jitter, cut: false };
             }
-            3 => fleet.act(&Act::Stall(one, rng.random_range(GRANT / 5..10 * GRANT))),
+            3 => fleet.inject(&ProcessFault::Stall(one, rng.random_range(GRANT / 5..10 * GRANT))),
             4 => {
                 ended += fleet.member(one).map_or(0, |m| m.begun);
-                fleet.act(&Act::Kill(one));
+                fleet.inject(&ProcessFault::Kill(one));
             }
             5 if fleet.member(one).is_none() => {
-                let now = fleet.clock(one);
+                let now = fleet.local_time(one);
                 lives += 1;
                 let told = limit(goes_by[one], Even::Rights);
                 fleet.start(one, Sharer::new(one, now, members, told, rates[one], lives));
@@ -347,7 +347,7 @@
             }
             8 => {
                 goes_by[one] = LIMIT / rng.random_range(1..20);
-                let (now, told) = (fleet.clock(one), limit(goes_by[one], Even::Rights));
+                let (now, told) = (fleet.local_time(one), limit(goes_by[one], Even::Rights));
                 let limits = BTreeMap::from([(DEST, told)]);
                 fleet.member_mut(one).into_iter().for_each(|m| m.sharing.set(now, members, &limits));
             }
@@ -436,7 +436,7 @@
     let moves = third(members - 1);
     let start = one.now();
     for n in 0..members {
-        let now = one.clock(n);
+        let now = one.local_time(n);
         one.member_mut(n).into_iter().for_each(|m| (m.rate, m.next_call) = (moves(n), now));
     }
     let mut moved = None;
@@ -446,7 +446,7 @@
         }
     }
     used(&mut one, 5 * GRANT);
-    one.links.islands(&(0..members).map(|n| usize::from(n * 2 >= members)).collect::<Vec<_>>());
+    one.links.partition(&(0..members).map(|n| usize::from(n * 2 >= members)).collect::<Vec<_>>());
     used(&mut one, 8 * GRANT);
     // By then each side's view has its own keeper: that needs nobody's leave.
     for n in 0..members {
--- a/crates/attack/src/schedule.rs
+++ b/crates/attack/src/schedule.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
-use yarrowhill_kernel::{Act, Link, Links, Micros};
+use yarrowhill_kernel::{Link, Links, Micros, ProcessFault};
 use yarrowhill_membership::{Event, Health, Timing, ViewId};
 
 /// A fault.
@@ -92,7 +92,7 @@
                 2 | 3 => Fault::Islands((0..size).map(|_| rng.random_range(0..2 + size / 5)).collect()),
                 4 => Fault::Weather(Link {
                     loss: rng.random_range(0.0..0.3),
-                    twice: rng.random_range(0.0..0.1),
+                    duplication: rng.random_range(0.0..0.1),
                     delay: rng.random_range(100..PERIOD / 10),
                     jitter: [200, PERIOD / 10, 2 * PERIOD][rng.random_range(0..3)],
                     cut: false,
@@ -124,7 +124,7 @@
 ///
 /// A property that does not hold.
 pub fn play(schedule: &Schedule) -> Result<(), Breach> {
-    let timing = Timing::of(PERIOD);
+    let timing = Timing::from_period(PERIOD);
     let mut world = World::new(schedule.size, timing, Links::default(), schedule.seed);
     (0..schedule.size).for_each(|n| world.start(n));
     let mut watch = Watch::default();
@@ -157,15 +157,15 @@
 fn strike(world: &mut World, fault: &Fault) {
     let links = &mut world.fleet.links;
     match fault {
-        Fault::Cut(from, to) => links.cut(*from, *to, true),
+        Fault::Cut(from, to) => links.set_cut(*from, *to, true),
         Fault::Part(a, b) => {
-            links.cut(*a, *b, true);
-            links.cut(*b, *a, true);
+            links.set_cut(*a, *b, true);
+            links.set_cut(*b, *a, true);
         }
-        Fault::Islands(of) => links.islands(of),
-        Fault::Weather(link) => links.all = *link,
+        Fault::Islands(of) => links.partition(of),
+        Fault::Weather(link) => links.default = *link,
         Fault::Heal => *links = Links::default(),
-        Fault::Stall(n, span) => world.fleet.act(&Act::Stall(*n, *span)),
+        Fault::Stall(n, span) => world.fleet.inject(&ProcessFault::Stall(*n, *span)),
         Fault::Kill(n) => world.kill(*n),
         Fault::Restart(n) => restart(world, *n),
         Fault::RestartOld(n) => {
@@ -220,7 +220,7 @@
         for n in 0..world.fleet.len() {
             let Some(seated) = world.fleet.member(n) else { continue };
             // Also of one that is stopped: at this moment it could wake in the midst of an act.
-            let own = world.fleet.clock(n);
+            let own = world.fleet.local_time(n);
             let core = &seated.core;
             if core.permits(own).hold_duty {
                 let view = core.view().id;
@@ -239,23 +239,23 @@
                 }
             }
             // One step a change: a view stands for a settling time at least.
-            let views = seated.events.iter().filter(|(_, event)| matches!(event, Event::View(_)));
+            let views = seated.events.iter().filter(|(_, event)| matches!(event, Event::ViewChanged(_)));
             let times: Vec<Micros> = views.map(|(when, _)| *when).collect();
             if let Some(pair) = times.windows(2).last().filter(|p| p[1] - p[0] < world.timing().settle) {
                 return breach(format!("{n} changes its view after {} us", pair[1] - pair[0]));
             }
             // No packet under a boot that is not on disk: what it says of itself stands in its folder.
-            let boot = core.record().inc.boot;
+            let boot = core.local_record().incarnation.boot;
             if !seated.folder.boots.contains(&boot) {
                 return breach(format!(
                     "{n} speaks as boot {boot}, and its folder has {:?}",
                     seated.folder.boots
                 ));
             }
-            let life = core.record().life.0;
+            let life = core.local_record().instance.0;
             for (id, entry) in core.members() {
                 let Some(other) = world.number(id) else { continue };
-                let inc = (entry.record.inc.boot, entry.record.inc.round);
+                let inc = (entry.record.incarnation.boot, entry.record.incarnation.refutations);
                 let newest = self.newest.entry((n, life, other)).or_default();
                 if inc < *newest {
                     return breach(format!("{n} believes {inc:?} of {other} after {newest:?}"));
@@ -280,8 +280,8 @@
             .filter(|(_, e)| e.record.health != Health::Alive)
             .filter_map(|(id, e)| Some((world.number(id)?, e.record.health)))
             .collect();
-        let standing = core.standing(world.fleet.clock(n));
-        if !missing.is_empty() || standing != yarrowhill_membership::Standing::Whole {
+        let standing = core.state(world.fleet.local_time(n));
+        if !missing.is_empty() || standing != yarrowhill_membership::MembershipState::Complete {
             let there = core.view().members.len();
             let what = format!("{n} is {standing} with {there} in its view, and misses {missing:?}");
             return Err(Breach { at, what });
--- a/crates/attack/src/shares.rs
+++ b/crates/attack/src/shares.rs
@@ -32,9 +32,9 @@
 
 /// Kills seven in ten of `size` members at once and starts them a minute later, all at once.
 pub fn measure_shares(size: usize, loss: f64, confirm: bool, seed: u64) -> ShareFigures {
-    let mut timing = Timing::of(PERIOD);
-    timing.confirm = confirm;
-    let mut world = World::new(size, timing, Links::all(Link { loss, ..Link::default() }), seed);
+    let mut timing = Timing::from_period(PERIOD);
+    timing.collect_support = confirm;
+    let mut world = World::new(size, timing, Links::uniform(Link { loss, ..Link::default() }), seed);
     (0..size).for_each(|n| world.start(n));
     world.fleet.run_until(60 * PERIOD);
     let dead = 0..size * 7 / 10;
@@ -75,5 +75,5 @@
 }
 
 fn senders(world: &World, n: usize) -> Option<usize> {
-    Some(world.fleet.member(n)?.core.senders(world.fleet.clock(n)))
+    Some(world.fleet.member(n)?.core.senders(world.fleet.local_time(n)))
 }
--- a/crates/attack/src/worlds.rs
+++ b/crates/attack/src/worlds.rs
@@ -2,8 +2,8 @@
 
 use yarrowhill_kernel::World;
 use yarrowhill_membership::{
-    Health, Identity, Incarnation, Lease, Life, MemberId, OwnNews, Record, Roster, Seat, Support, ViewId,
-    Voter,
+    Health, Identity, Incarnation, InstanceId, Lease, MemberConfig, MemberId, Record, Roster, SelfUpdate,
+    Support, ViewId, Voter,
 };
 
 /// Voters in the world of support.
@@ -71,7 +71,7 @@
     }
 
     fn roster() -> Option<Roster> {
-        let seat = |name: &&str| Seat { name: (*name).to_owned(), zone: String::new(), votes: None };
+        let seat = |name: &&str| MemberConfig { name: (*name).to_owned(), zone: String::new(), votes: None };
         Roster::new(1, NAMES.iter().map(seat).collect()).ok()
     }
 
@@ -84,11 +84,11 @@
     type State = SupportState;
     type Step = SupportStep;
 
-    fn begins(&self) -> Vec<SupportState> {
+    fn initial_states(&self) -> Vec<SupportState> {
         // All voters have run for long.
         let free = Voter::new(0, self.lease()).rebased(NOW, 0);
         let mut holders = vec![Support::default(); 2];
-        holders.iter_mut().enumerate().for_each(|(n, h)| h.view(Self::view(n)));
+        holders.iter_mut().enumerate().for_each(|(n, h)| h.set_view(Self::view(n)));
         vec![SupportState { voters: vec![free; VOTERS], holders }]
     }
 
@@ -108,7 +108,7 @@
         steps
     }
 
-    fn take(&self, state: &SupportState, step: &SupportStep) -> SupportState {
+    fn apply(&self, state: &SupportState, step: &SupportStep) -> SupportState {
         let mut next = state.clone();
         match *step {
             SupportStep::Time => {
@@ -117,10 +117,10 @@
             }
             SupportStep::Answer { voter, holder, age, comes } => {
                 let view = Self::view(holder);
-                if next.voters[voter].supports(NOW, view, self.lease()) && comes {
+                if next.voters[voter].try_support(NOW, view, self.lease()) && comes {
                     let asked = NOW - age * self.rates[0];
-                    let by = MemberId::of(NAMES[voter]);
-                    next.holders[holder].granted(by, view, asked, self.lease());
+                    let by = MemberId::from_name(NAMES[voter]);
+                    next.holders[holder].record_grant(by, view, asked, self.lease());
                     next.holders[holder] = next.holders[holder].rebased(NOW, 0);
                 }
             }
@@ -129,9 +129,9 @@
         next
     }
 
-    fn breach(&self, state: &SupportState) -> Option<String> {
+    fn violation(&self, state: &SupportState) -> Option<String> {
         let roster = Self::roster()?;
-        let acts = |holder: usize| roster.is_majority(|id| state.holders[holder].holds(NOW, id));
+        let acts = |holder: usize| roster.is_majority(|id| state.holders[holder].is_valid(NOW, id));
         (acts(0) && acts(1)).then(|| "two views act at once".to_owned())
     }
 }
@@ -183,10 +183,10 @@
     type State = IdentityState;
     type Step = IdentityStep;
 
-    fn begins(&self) -> Vec<IdentityState> {
+    fn initial_states(&self) -> Vec<IdentityState> {
         vec![IdentityState {
             folder: vec![1],
-            member: Identity::new(1, Life(1)),
+            member: Identity::new(1, InstanceId(1)),
             owed: None,
             starts: 0,
             words: Vec::new(),
@@ -197,7 +197,7 @@
 
     fn steps(&self, s: &IdentityState) -> Vec<IdentityStep> {
         let mut steps = Vec::new();
-        if !s.member.is_mute() && !s.words.contains(&s.member.record()) {
+        if !s.member.is_muted() && !s.words.contains(&s.member.record()) {
             steps.push(IdentityStep::Speak);
         }
         for word in 0..s.words.len() {
@@ -220,14 +220,14 @@
         steps
     }
 
-    fn take(&self, state: &IdentityState, step: &IdentityStep) -> IdentityState {
+    fn apply(&self, state: &IdentityState, step: &IdentityStep) -> IdentityState {
         let mut s = state.clone();
         match *step {
             IdentityStep::Speak => say(&mut s, state.member.record()),
             IdentityStep::Hear(other, word) => hold(&mut s, other, state.words[word]),
-            IdentityStep::Own(word) => match s.member.hears(0, &state.words[word]) {
-                OwnNews::Persist(boot) => s.owed = Some(boot),
-                OwnNews::Refuted | OwnNews::Nothing => {}
+            IdentityStep::Own(word) => match s.member.observe(0, &state.words[word]) {
+                SelfUpdate::Persist(boot) => s.owed = Some(boot),
+                SelfUpdate::Refuted | SelfUpdate::Unchanged => {}
             },
             IdentityStep::Doubt(other, health) => {
                 let word = Record { health, ..state.held[other] };
@@ -237,7 +237,7 @@
             IdentityStep::Written => {
                 if let Some(boot) = s.owed.take() {
                     s.folder.push(boot);
-                    s.member.persisted(boot);
+                    s.member.boot_persisted(boot);
                 }
             }
             IdentityStep::Start(kept) => {
@@ -246,43 +246,43 @@
                 s.folder.push(boot);
                 s.starts += 1;
                 s.owed = None;
-                s.member = Identity::new(boot, Life(u64::from(s.starts) + 1));
+                s.member = Identity::new(boot, InstanceId(u64::from(s.starts) + 1));
             }
         }
         s
     }
 
-    fn breach(&self, s: &IdentityState) -> Option<String> {
+    fn violation(&self, s: &IdentityState) -> Option<String> {
         let record = s.member.record();
-        if !s.member.is_mute() && !s.folder.contains(&record.inc.boot) {
-            return Some(format!("speaks as {} with {:?} on disk", record.inc, s.folder));
+        if !s.member.is_muted() && !s.folder.contains(&record.incarnation.boot) {
+            return Some(format!("speaks as {} with {:?} on disk", record.incarnation, s.folder));
         }
-        if record.inc.boot > BOOTS {
+        if record.incarnation.boot > BOOTS {
             return None;
         }
         for other in 0..2 {
-            if s.held[other].inc < s.newest[other] {
-                return Some(format!("{} counts after {}", s.held[other].inc, s.newest[other]));
+            if s.held[other].incarnation < s.newest[other] {
+                return Some(format!("{} counts after {}", s.held[other].incarnation, s.newest[other]));
             }
         }
         // However it began: once it has heard the newest word, what it says next counts everywhere.
         let newest = s.words.iter().copied().max()?;
         let mut after = s.member.clone();
-        s.owed.into_iter().for_each(|boot| after.persisted(boot));
+        s.owed.into_iter().for_each(|boot| after.boot_persisted(boot));
         for _ in 0..2 {
-            if let OwnNews::Persist(boot) = after.hears(0, &newest) {
-                after.persisted(boot);
+            if let SelfUpdate::Persist(boot) = after.observe(0, &newest) {
+                after.boot_persisted(boot);
             }
         }
         let said = after.record();
-        let other = newest.life != said.life && !after.is_doubled(0, u64::MAX);
+        let other = newest.instance != said.instance && !after.has_duplicate(0, u64::MAX);
         (other && said.merge(newest) != said).then(|| format!("{said:?} does not outweigh {newest:?}"))
     }
 }
 
 /// Every word stays on its way: it may come again at any later time.
 fn say(s: &mut IdentityState, word: Record) {
-    if word.inc.boot <= BOOTS && word.inc.round <= 1 && !s.words.contains(&word) {
+    if word.incarnation.boot <= BOOTS && word.incarnation.refutations <= 1 && !s.words.contains(&word) {
         s.words.push(word);
         s.words.sort();
     }
@@ -291,5 +291,5 @@
 fn hold(s: &mut IdentityState, other: usize, word: Record) {
     let held = s.held[other].merge(word);
     s.held[other] = held;
-    s.newest[other] = s.newest[other].max(word.inc).max(held.inc);
+    s.newest[other] = s.newest[other].max(word.incarnation).max(held.incarnation);
 }
--- a/crates/attack/tests/duties.rs
+++ b/crates/attack/tests/duties.rs
@@ -18,9 +18,9 @@
     let plain = DutyWorld::default();
     for world in [plain, DutyWorld { wipes: 1, restarts: 0, renewals: 0, ..plain }] {
         let found = search(&world, MOST);
-        assert!(found.breach.is_none(), "{found:?}");
+        assert!(found.violation.is_none(), "{found:?}");
     }
     // The same with clocks worse than they were said to be.
     let worse = DutyWorld { drift: 0.0, restarts: 0, renewals: 0, ..plain };
-    assert!(search(&worse, 2 * MOST).breach.is_some(), "a search that finds nothing proves nothing");
+    assert!(search(&worse, 2 * MOST).violation.is_some(), "a search that finds nothing proves nothing");
 }
--- a/crates/attack/tests/membership.rs
+++ b/crates/attack/tests/membership.rs
@@ -14,16 +14,16 @@
 #[test]
 fn no_way_of_a_small_world_lets_two_views_act() {
     let found = search(&SupportWorld::default(), 3_000_000);
-    assert!(found.complete && found.breach.is_none(), "{found:?}");
+    assert!(found.complete && found.violation.is_none(), "{found:?}");
     // The same with clocks worse than they were said to be: the assumption is one.
     let worse = SupportWorld { drift: 0.0, ..SupportWorld::default() };
-    assert!(search(&worse, 3_000_000).breach.is_some(), "a search that finds nothing proves nothing");
+    assert!(search(&worse, 3_000_000).violation.is_some(), "a search that finds nothing proves nothing");
 }
 
 #[test]
 fn no_way_of_a_small_world_brings_a_dead_incarnation_back() {
     let found = search(&IdentityWorld { starts: 1 }, 2_000_000);
-    assert!(found.complete && found.breach.is_none(), "{found:?}");
+    assert!(found.complete && found.violation.is_none(), "{found:?}");
 }
 
 /// Two halves that one member alone hears: every word between them goes through it, and a probe from one half to the other
@@ -35,11 +35,11 @@
     for seed in 0..60 {
         // 0 is the bridge; the others are odd or even.
         let size = [5, 9, 9][seed as usize % 3];
-        let mut world = World::new(size, Timing::of(PERIOD), Links::default(), seed);
+        let mut world = World::new(size, Timing::from_period(PERIOD), Links::default(), seed);
         (0..size).for_each(|n| world.start(n));
         world.fleet.run_until(30 * PERIOD);
         for (from, to) in (1..size).flat_map(|a| (1..size).map(move |b| (a, b))) {
-            world.fleet.links.cut(from, to, from % 2 != to % 2);
+            world.fleet.links.set_cut(from, to, from % 2 != to % 2);
         }
         let before = dead;
         for period in 31..200 {
--- a/crates/attack/tests/rights.rs
+++ b/crates/attack/tests/rights.rs
@@ -15,11 +15,11 @@
     for keepers in [[9, 9], [9, 11], [11, 11]] {
         let world = RightsWorld { keepers, borrowers: 1, ..RightsWorld::default() };
         let found = search(&world, 2_000_000);
-        assert!(found.complete && found.breach.is_none(), "{found:?}");
+        assert!(found.complete && found.violation.is_none(), "{found:?}");
     }
     // The same with clocks worse than they were said to be.
     let worse = RightsWorld { drift: 0.0, borrowers: 1, ..RightsWorld::default() };
-    assert!(search(&worse, 2_000_000).breach.is_some(), "a search that finds nothing proves nothing");
+    assert!(search(&worse, 2_000_000).violation.is_some(), "a search that finds nothing proves nothing");
 }
 
 #[test]
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -233,15 +233,15 @@
     use yarrowhill_rights::{Offer, WORDS_MOST, Want, Word};
 
     fn largest() -> Packet {
-        let inc = Incarnation { boot: u64::MAX, round: u64::MAX };
-        let record = Record { inc, health: Health::Left, life: Life(u64::MAX) };
+        let inc = Incarnation { boot: u64::MAX, refutations: u64::MAX };
+        let record = Record { incarnation: inc, health: Health::Left, instance: InstanceId(u64::MAX) };
         let update = Update { about: MemberId(u64::MAX), record, by: MemberId(u64::MAX) };
         let roster = RosterRef { version: u64::MAX, hash: u64::MAX };
-        let (from, life, view) = (MemberId(u64::MAX), Life(u64::MAX), ViewId(u64::MAX));
+        let (from, life, view) = (MemberId(u64::MAX), InstanceId(u64::MAX), ViewId(u64::MAX));
         Packet {
-            header: Header { from, inc, life, roster, view },
-            body: Body::Support { view, at: u64::MAX },
-            updates: vec![update; UPDATES_MOST],
+            header: Header { from, incarnation: inc, instance: life, roster, view },
+            body: Body::SupportGrant { view, at: u64::MAX },
+            updates: vec![update; MAX_UPDATES],
         }
     }
 
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -16,7 +16,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 use yarrowhill_duties::{DUTIES_MOST, Duty};
-use yarrowhill_membership::{MEMBERS_MOST, MemberId, Roster, Seat, Timing};
+use yarrowhill_membership::{MAX_MEMBERS, MemberConfig, MemberId, Roster, Timing};
 use yarrowhill_rights::{CALL, Limit, further_attempts};
 
 /// The longest document (bytes).
@@ -163,7 +163,7 @@
             Ok(roster) => Some(roster),
             Err(e) => {
                 let e: yarrowhill_membership::RosterError = e;
-                self.fault(at, e.to_string(), format!("1 to {MEMBERS_MOST} members, each once"));
+                self.fault(at, e.to_string(), format!("1 to {MAX_MEMBERS} members, each once"));
                 None
             }
         };
@@ -172,16 +172,16 @@
             true => now,
             false => sound(Roster::new(version.saturating_sub(1), before))?.joint(&now),
         };
-        let id = MemberId::of(me);
-        if !roster.has(id) {
+        let id = MemberId::from_name(me);
+        if !roster.contains(id) {
             self.fault(at, format!("{me:?} is not a member"), "the forwarder's own name must be there");
             return None;
         }
         let own = addresses.get(&id).copied();
         let listen = self.address(node, "listen", loopback).or(own)?;
         addresses.remove(&id);
-        let mut timing = Timing::of(period * 1000);
-        timing.confirm = self.flag(node, "confirm").unwrap_or(roster.len() <= CONFIRM_MOST);
+        let mut timing = Timing::from_period(period * 1000);
+        timing.collect_support = self.flag(node, "confirm").unwrap_or(roster.len() <= CONFIRM_MOST);
         Some(Document { roster, listen, addresses, timing, limits, returns, duties })
     }
 
@@ -244,7 +244,7 @@
         node: &KdlNode,
         loopback: bool,
         addresses: &mut BTreeMap<MemberId, SocketAddr>,
-    ) -> Option<Seat> {
+    ) -> Option<MemberConfig> {
         self.known(node, &["address", "zone", "votes"]);
         let name = node.get(0).and_then(KdlValue::as_string).map(str::to_owned);
         let at = node.span().offset();
@@ -254,11 +254,12 @@
         };
         match self.address(node, "address", loopback) {
             Some(address) => {
-                let taken = addresses.iter().any(|(id, a)| *a == address && *id != MemberId::of(&name));
+                let taken =
+                    addresses.iter().any(|(id, a)| *a == address && *id != MemberId::from_name(&name));
                 if taken {
                     self.fault(at, format!("{address} is another member's"), "one address each");
                 }
-                addresses.insert(MemberId::of(&name), address);
+                addresses.insert(MemberId::from_name(&name), address);
             }
             None if node.get("address").is_none() => {
                 self.fault(at, format!("{name:?} has no address"), "`address=\"IP:PORT\"`");
@@ -266,7 +267,7 @@
             None => {}
         }
         let zone = node.get("zone").and_then(KdlValue::as_string).unwrap_or_default().to_owned();
-        Some(Seat { name, zone, votes: self.flag(node, "votes") })
+        Some(MemberConfig { name, zone, votes: self.flag(node, "votes") })
     }
 
     fn known(&mut self, node: &KdlNode, names: &[&str]) {
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -26,8 +26,8 @@
 };
 use yarrowhill_knowledge::{Ended, Judgement, Knowledge, Leave, Newcomer, Outages, Ramp, WaitWord};
 use yarrowhill_membership::{
-    Event, Health, Life, MemberId, Membership, Micros, Output, Packet, Permits, Roster, RosterError,
-    Standing, Whole,
+    Event, FullState, Health, InstanceId, MemberId, Membership, MembershipState, Micros, Output, Packet,
+    Permits, Roster, RosterError,
 };
 use yarrowhill_rights::{Letter, Sharing, Spans, further_attempts};
 
@@ -207,7 +207,7 @@
     /// before an act. One under whose name another lives holds nothing.
     pub fn held(&self, name: &str) -> Option<Held> {
         let now = clock::now();
-        if matches!(self.core().standing(now), Standing::Doubled | Standing::Leaving) {
+        if matches!(self.core().state(now), MembershipState::DuplicateName | MembershipState::Leaving) {
             return None;
         }
         self.duties().held(now, duties::Duty::new(name).id())
@@ -382,14 +382,14 @@
         let tcp = TcpListener::bind(listen).await.map_err(failed)?;
         let (identity, boot) = IdentityFile::start(state, name)?;
         // By the machine's chance, not by the seed: two processes under one name may have been told the same.
-        let life = Life(getrandom::u64().map_err(|e| FleetError::Chance(e.to_string()))?);
+        let life = InstanceId(getrandom::u64().map_err(|e| FleetError::Chance(e.to_string()))?);
         let senders = watch::Sender::new(roster.len());
         let (now, members) = (clock::now(), roster.len());
         let spans = Spans::new(timing.period, DRIFT);
-        let mut sharing = Sharing::new(now, MemberId::of(name).0, life.0, members, spans);
+        let mut sharing = Sharing::new(now, MemberId::from_name(name).0, life.0, members, spans);
         sharing.set(now, members, &limits);
         let (registers, found) = RegisterFile::open(state);
-        let me = duties::Life { member: MemberId::of(name).0, life: life.0 };
+        let me = duties::Life { member: MemberId::from_name(name).0, life: life.0 };
         let lease = duties::Lease::new(timing.lease, DRIFT);
         let duties = Duties::new(now, me, boot, lease, found, duties, electorate(&roster));
         let core = Membership::new(now, roster, name, boot, life, timing, seed)?;
@@ -397,12 +397,12 @@
         let handle = Handle(Arc::new(Shared {
             core: Mutex::new(core),
             sharing: Mutex::new(sharing),
-            knowledge: Mutex::new(Knowledge::new(MemberId::of(name).0, boot, seed ^ life.0)),
-            outages: Mutex::new(Outages::new(MemberId::of(name).0, boot, ramp.unwrap_or(NO_RAMP))),
+            knowledge: Mutex::new(Knowledge::new(MemberId::from_name(name).0, boot, seed ^ life.0)),
+            outages: Mutex::new(Outages::new(MemberId::from_name(name).0, boot, ramp.unwrap_or(NO_RAMP))),
             judges: ramp.is_some(),
             duties: Mutex::new(duties),
             history: Mutex::default(),
-            newcomer: Mutex::new(Newcomer::new(now + timing.settle_most)),
+            newcomer: Mutex::new(Newcomer::new(now + timing.max_settle)),
             addresses: Mutex::new(addresses),
             stir: Notify::new(),
             senders,
@@ -517,7 +517,7 @@
             self.persist(boot);
         }
         loop {
-            let outputs = self.handle.core().outputs();
+            let outputs = self.handle.core().take_outputs();
             if outputs.is_empty() {
                 break;
             }
@@ -552,7 +552,7 @@
             // What is remembered of whoever starts.
             let known = self.handle.core().member(from).map(|e| e.record);
             if let Some(record) = known {
-                self.handle.duties().saw(from.0, record.inc.boot, record.life.0);
+                self.handle.duties().saw(from.0, record.incarnation.boot, record.instance.0);
             }
         }
         self.handle.duties().handle(now, from.0, letter);
@@ -591,7 +591,7 @@
                             );
                         }
                     }
-                    duties::Output::Send { to, letter } if MemberId(to) == self.handle.core().me() => {
+                    duties::Output::Send { to, letter } if MemberId(to) == self.handle.core().local_id() => {
                         own.push(letter)
                     }
                     duties::Output::Send { to, letter } => self.send_duty(MemberId(to), &letter).await,
@@ -610,7 +610,7 @@
         let now = clock::now();
         let may = core.permits(now).hold_duty;
         let view = core.view();
-        let of = (view.id, may, core.changes());
+        let of = (view.id, may, core.change_count());
         if self.there_of == Some(of) {
             return;
         }
@@ -663,8 +663,8 @@
         let (there, boot) = {
             let core = self.handle.core();
             let there: Vec<u64> =
-                core.members().filter(|(_, e)| e.record.health.is_there()).map(|(id, _)| id.0).collect();
-            (there, core.record().inc.boot)
+                core.members().filter(|(_, e)| e.record.health.is_present()).map(|(id, _)| id.0).collect();
+            (there, core.local_record().incarnation.boot)
         };
         if there.is_empty() {
             return;
@@ -756,7 +756,7 @@
             Ok(()) => {
                 self.owed = None;
                 tracing::info!(boot, "fleet: an earlier word of this name was newer; counted up");
-                self.handle.core().persisted(clock::now(), boot);
+                self.handle.core().boot_persisted(clock::now(), boot);
             }
             Err(e) => {
                 if self.owed.is_none() {
@@ -774,14 +774,14 @@
         tokio::spawn(async move {
             let exchange = async {
                 let mut stream = TcpStream::connect(at).await?;
-                let own = handle.core().whole();
+                let own = handle.core().full_state();
                 write_whole(&mut stream, &own).await?;
                 read_whole(&mut stream).await
             };
             if let Ok(Ok(whole)) = timeout(EXCHANGE, exchange).await
                 && whole.header.from == with
             {
-                handle.core().take_whole(clock::now(), whole);
+                handle.core().merge_full_state(clock::now(), whole);
                 handle.0.stir.notify_one();
             }
         });
@@ -800,10 +800,10 @@
                 let whole = read_whole(&mut stream).await?;
                 let own = {
                     let mut core = handle.core();
-                    if !core.take_whole(clock::now(), whole) {
+                    if !core.merge_full_state(clock::now(), whole) {
                         return Err(io::ErrorKind::PermissionDenied.into());
                     }
-                    core.whole()
+                    core.full_state()
                 };
                 handle.0.stir.notify_one();
                 write_whole(&mut stream, &own).await
@@ -813,13 +813,13 @@
     }
 }
 
-async fn write_whole(stream: &mut TcpStream, whole: &Whole) -> io::Result<()> {
+async fn write_whole(stream: &mut TcpStream, whole: &FullState) -> io::Result<()> {
     let bytes = encode(whole, WHOLE_MOST).map_err(io::Error::other)?;
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&[&length.to_be_bytes()[..], &bytes].concat()).await
 }
 
-async fn read_whole(stream: &mut TcpStream) -> io::Result<Whole> {
+async fn read_whole(stream: &mut TcpStream) -> io::Result<FullState> {
     let length = stream.read_u32().await? as usize;
     if length > WHOLE_MOST {
         return Err(io::ErrorKind::InvalidData.into());
@@ -840,9 +840,9 @@
 /// One line for each stable change.
 fn tell(handle: &Handle, event: &Event) {
     let roster = handle.roster();
-    let name = |id: &MemberId| roster.name(*id).unwrap_or("?").to_owned();
+    let name = |id: &MemberId| roster.name_of(*id).unwrap_or("?").to_owned();
     match event {
-        Event::View(view) => {
+        Event::ViewChanged(view) => {
             let there: Vec<String> = view.members.keys().map(name).collect();
             let missing: Vec<String> = roster
                 .members()
@@ -852,8 +852,8 @@
                 .collect();
             tracing::info!(view = %view.id, there = there.len(), ?missing, "fleet: view");
         }
-        Event::Standing { from, to } => tracing::info!(%from, %to, "fleet: standing"),
-        Event::Disagrees { with, theirs } => {
+        Event::StateChanged { from, to } => tracing::info!(%from, %to, "fleet: standing"),
+        Event::RosterMismatch { member: with, roster: theirs } => {
             let mine = roster.reference();
             tracing::warn!(
                 with = name(with),
@@ -862,6 +862,6 @@
                 "fleet: another roster"
             );
         }
-        Event::Woke(late) => tracing::warn!(ms = late / 1000, "fleet: was stopped"),
+        Event::Resumed(late) => tracing::warn!(ms = late / 1000, "fleet: was stopped"),
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -3,7 +3,9 @@
 use serde::{Deserialize, Serialize};
 use yarrowhill_duties::{Duties, DutyStatus, Vote};
 use yarrowhill_knowledge::{Knowledge, Known, Outage, Outages};
-use yarrowhill_membership::{Health, MemberId, Membership, Micros, Permits, Refused, Roster, Standing};
+use yarrowhill_membership::{
+    Health, MemberId, Membership, MembershipState, Micros, Permits, Rejected, Roster,
+};
 use yarrowhill_rights::{LimitStatus, Refusals, Sharing};
 
 /// A member as this forwarder knows it.
@@ -47,7 +49,7 @@
     /// Its boot and round.
     pub incarnation: String,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: MembershipState,
     /// What follows.
     pub permits: Permits,
     /// Its stable view.
@@ -72,7 +74,7 @@
     /// What a member knows at a moment. `dropped` counts what never reached it.
     pub fn of(core: &Membership, now: Micros, dropped: [u64; 2]) -> Self {
         let roster = core.roster();
-        let name = |id: MemberId| roster.name(id).unwrap_or("?").to_owned();
+        let name = |id: MemberId| roster.name_of(id).unwrap_or("?").to_owned();
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
         let mine = roster.reference();
         let voters: Vec<MemberId> = roster.voters().collect();
@@ -80,17 +82,17 @@
             .members()
             .map(|(id, seat)| {
                 let entry = core.members().find(|(other, _)| *other == id).map(|(_, e)| e);
-                let record = entry.map_or(core.record(), |e| e.record);
+                let record = entry.map_or(core.local_record(), |e| e.record);
                 let other = entry.and_then(|e| e.roster).filter(|r| *r != mine);
                 MemberStatus {
                     name: seat.name.clone(),
                     zone: seat.zone.clone(),
                     votes: voters.contains(&id),
-                    incarnation: record.inc.to_string(),
+                    incarnation: record.incarnation.to_string(),
                     state: record.health,
                     since_ms: entry.map_or(0, |e| ago(e.since)),
-                    heard_ms: entry.map_or(Some(0), |e| e.heard.map(ago)),
-                    by: entry.and_then(|e| e.by).map(name),
+                    heard_ms: entry.map_or(Some(0), |e| e.last_received.map(ago)),
+                    by: entry.and_then(|e| e.source).map(name),
                     support_ms: core.support_until(id).saturating_sub(now) / 1000,
                     in_view: core.view().members.contains_key(&id),
                     other_roster: other.map(|r| format!("{}:{:016x}", r.version, r.hash)),
@@ -98,14 +100,14 @@
             })
             .collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let Refused { strangers, words, support } = core.refused();
+        let Rejected { unknown_senders: strangers, updates: words, support } = core.rejected();
         Status {
             version: 1,
             at: now,
-            until: core.standing_until(),
-            name: name(core.me()),
-            incarnation: core.record().inc.to_string(),
-            standing: core.standing(now),
+            until: core.state_until(),
+            name: name(core.local_id()),
+            incarnation: core.local_record().incarnation.to_string(),
+            standing: core.state(now),
             permits: core.permits(now),
             view: core.view().id.to_string(),
             there: core.view().members.len(),
@@ -146,7 +148,7 @@
     /// What a member knows at a moment.
     pub fn of(sharing: &Sharing, now: Micros, roster: &Roster) -> Self {
         let named = |limit: LimitStatus| {
-            let name = limit.keeper.and_then(|id| roster.name(MemberId(id)));
+            let name = limit.keeper.and_then(|id| roster.name_of(MemberId(id)));
             NamedLimit { keeper_name: name.map(str::to_owned), limit }
         };
         let limits = sharing.status(now).into_iter().map(named).collect();
@@ -198,7 +200,7 @@
 impl DutiesStatus {
     /// What a member knows at a moment; `history` by duty.
     pub fn of(duties: &Duties, now: Micros, roster: &Roster, history: &[(u64, String)]) -> Self {
-        let name = |id: u64| roster.name(MemberId(id)).unwrap_or("?").to_owned();
+        let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let ids: std::collections::BTreeMap<String, u64> =
             duties.duties().map(|(id, duty)| (duty.name.clone(), id)).collect();
         let named = |duty: DutyStatus| {
@@ -258,11 +260,11 @@
         newcomer: bool,
     ) -> Self {
         let named = |known: Known| {
-            let origin_name = roster.name(MemberId(known.origin)).map(str::to_owned);
+            let origin_name = roster.name_of(MemberId(known.origin)).map(str::to_owned);
             NamedKnown { known, origin_name }
         };
         let waits = knowledge.known(now).into_iter().map(named).collect();
-        let name = |id: u64| roster.name(MemberId(id)).unwrap_or("?").to_owned();
+        let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let named = |outage: Outage| NamedOutage {
             found_names: outage.found.iter().map(|(id, _)| name(*id)).collect(),
             tries_name: outage.tries.map(name),
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -16,7 +16,9 @@
 use yarrowhill_engine::{Answer, Call, Input, Item, Phase, Transport};
 use yarrowhill_fleet::{PACKET_MOST, WHOLE_MOST, decode, encode};
 use yarrowhill_http::{Intake, Pool, serve};
-use yarrowhill_membership::{Life, Membership, Output, Packet, Roster, Seat, Timing, Whole};
+use yarrowhill_membership::{
+    FullState, InstanceId, MemberConfig, Membership, Output, Packet, Roster, Timing,
+};
 use yarrowhill_standins::{Class, Figures, Room, configuration};
 
 /// Longer than anything that peers can make the program wait for.
@@ -186,20 +188,20 @@
 
 /// A member that hears it, and goes on.
 fn packets(input: &[u8]) {
-    let seat = |name: &str| Seat { name: name.to_owned(), zone: String::new(), votes: None };
+    let seat = |name: &str| MemberConfig { name: name.to_owned(), zone: String::new(), votes: None };
     let roster = Roster::new(1, ["n0", "n1", "n2"].map(seat).to_vec()).expect("a roster");
-    let mut member =
-        Membership::new(0, roster, "n0", 1, Life(1), Timing::of(1000), 1).expect("it is a member");
+    let mut member = Membership::new(0, roster, "n0", 1, InstanceId(1), Timing::from_period(1000), 1)
+        .expect("it is a member");
     if let Ok(packet) = decode::<Packet>(input, PACKET_MOST) {
         // Said twice, since much is answered the first time alone.
         member.handle(1, packet.clone());
         member.handle(2, packet);
     }
-    if let Ok(whole) = decode::<Whole>(input, WHOLE_MOST) {
-        member.take_whole(3, whole);
+    if let Ok(whole) = decode::<FullState>(input, WHOLE_MOST) {
+        member.merge_full_state(3, whole);
     }
     (0..20).for_each(|n| member.tick(n * 500));
-    let outputs = member.outputs();
+    let outputs = member.take_outputs();
     assert!(outputs.len() < 1000, "{} things to do after one packet", outputs.len());
     for output in outputs {
         if let Output::Send { packet, .. } = output {
@@ -207,5 +209,5 @@
         }
     }
     // Nobody can take it to where it is not heard any more, and nobody comes who is not in the roster.
-    assert!(member.record().inc.is_sound() && member.view().members.len() <= 3);
+    assert!(member.local_record().incarnation.is_plausible() && member.view().members.len() <= 3);
 }
--- a/crates/kernel/src/fleet.rs
+++ b/crates/kernel/src/fleet.rs
@@ -22,26 +22,26 @@
     /// A packet has come.
     fn handle(&mut self, now: Micros, from: usize, packet: Self::Packet);
     /// What it sends by now.
-    fn sends(&mut self) -> Vec<(usize, Self::Packet)>;
+    fn take_outgoing(&mut self) -> Vec<(usize, Self::Packet)>;
     /// When it wants to be called again, by its own clock.
     fn next_wake(&self) -> Micros;
 }
 
 /// A member's clock: where it stood when the world began, and how fast it goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct Clock {
     /// At the world's beginning (microseconds).
     pub offset: Micros,
     /// Against the world's: 1.01 is one in a hundred too fast.
     pub rate: f64,
 }
 
-impl Start {
-    fn own(&self, world: Micros) -> Micros {
+impl Clock {
+    fn local_time(&self, world: Micros) -> Micros {
         self.offset + (world as f64 * self.rate) as Micros
     }
 
-    fn world(&self, own: Micros) -> Micros {
+    fn world_time(&self, own: Micros) -> Micros {
         ((own.saturating_sub(self.offset)) as f64 / self.rate).ceil() as Micros
     }
 }
@@ -49,7 +49,7 @@
 struct Slot<M: Member> {
     /// None while it is dead.
     member: Option<M>,
-    clock: Start,
+    clock: Clock,
     /// Stopped until then.
     stopped: Micros,
     waiting: VecDeque<(usize, M::Packet)>,
@@ -89,7 +89,7 @@
 
 /// What a script does to the world.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum ProcessFault {
     /// Stops a member for so long (microseconds).
     Stall(usize, Micros),
     /// Ends a member with no warning.
@@ -135,7 +135,7 @@
     }
 
     /// A place for a member, with its clock; nobody is there yet. Its number.
-    pub fn place(&mut self, clock: Start) -> usize {
+    pub fn add_slot(&mut self, clock: Clock) -> usize {
         let waiting = VecDeque::new();
         self.slots.push(Slot { member: None, clock, stopped: 0, waiting, wake: 0, life: 0 });
         self.sent.push(0);
@@ -144,8 +144,8 @@
     }
 
     /// A member's own clock now.
-    pub fn clock(&self, number: usize) -> Micros {
-        self.slots[number].clock.own(self.now)
+    pub fn local_time(&self, number: usize) -> Micros {
+        self.slots[number].clock.local_time(self.now)
     }
 
     /// A member starts at its place.
@@ -185,15 +185,15 @@
     }
 
     /// Does what a script says.
-    pub fn act(&mut self, act: &Act) {
+    pub fn inject(&mut self, act: &ProcessFault) {
         match *act {
-            Act::Stall(number, span) => {
+            ProcessFault::Stall(number, span) => {
                 let until = self.now + span;
                 let slot = &mut self.slots[number];
                 slot.stopped = slot.stopped.max(until);
                 self.push(until, number, What::Go);
             }
-            Act::Kill(number) => self.slots[number].member = None,
+            ProcessFault::Kill(number) => self.slots[number].member = None,
         }
     }
 
@@ -246,10 +246,10 @@
     fn run(&mut self, number: usize, what: impl FnOnce(&mut M, Micros)) {
         let now = self.now;
         let slot = &mut self.slots[number];
-        let own = slot.clock.own(now);
+        let own = slot.clock.local_time(now);
         let Some(member) = slot.member.as_mut() else { return };
         what(member, own);
-        let (sends, wake) = (member.sends(), slot.clock.world(member.next_wake()).max(now + 1));
+        let (sends, wake) = (member.take_outgoing(), slot.clock.world_time(member.next_wake()).max(now + 1));
         let life = slot.life;
         if slot.wake == 0 || wake < slot.wake || slot.wake <= now {
             slot.wake = wake;
@@ -258,7 +258,7 @@
         for (to, packet) in sends {
             self.sent[number] += 1;
             self.bytes[number] += (self.size)(&packet) as u64;
-            for at in self.links.get(number, to).carry(now, &mut self.rng) {
+            for at in self.links.get(number, to).delivery_times(now, &mut self.rng) {
                 self.push(at, to, What::Packet { from: number, packet: packet.clone() });
             }
         }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -9,6 +9,6 @@
 mod links;
 mod search;
 
-pub use fleet::{Act, Fleet, Member, Micros, Start};
+pub use fleet::{Clock, Fleet, Member, Micros, ProcessFault};
 pub use links::{Link, Links};
-pub use search::{Found, World, search};
+pub use search::{SearchResult, World, search};
--- a/crates/kernel/src/links.rs
+++ b/crates/kernel/src/links.rs
@@ -10,7 +10,7 @@
     /// The share of packets that are lost (0 to 1).
     pub loss: f64,
     /// The share that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// The least time on the way (microseconds),
     pub delay: Micros,
     /// and what chance adds in the mean: exponential, so that packets overtake each other.
@@ -22,17 +22,17 @@
 impl Default for Link {
     /// One machine room: half a millisecond.
     fn default() -> Self {
-        Link { loss: 0.0, twice: 0.0, delay: 300, jitter: 200, cut: false }
+        Link { loss: 0.0, duplication: 0.0, delay: 300, jitter: 200, cut: false }
     }
 }
 
 impl Link {
     /// When a packet that is sent now comes, once or more often, or not at all.
-    pub fn carry(&self, now: Micros, rng: &mut impl Rng) -> Vec<Micros> {
+    pub fn delivery_times(&self, now: Micros, rng: &mut impl Rng) -> Vec<Micros> {
         if self.cut || rng.random_bool(self.loss.clamp(0.0, 1.0)) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(rng.random_bool(self.twice.clamp(0.0, 1.0)));
+        let copies = 1 + usize::from(rng.random_bool(self.duplication.clamp(0.0, 1.0)));
         let mut way = || {
             let chance = -rng.random::<f64>().max(1e-12).ln();
             now + self.delay + (self.jitter as f64 * chance) as Micros
@@ -45,19 +45,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     /// What holds where nothing else is said.
-    pub all: Link,
+    pub default: Link,
     own: HashMap<(usize, usize), Link>,
 }
 
 impl Links {
     /// One law everywhere.
-    pub fn all(link: Link) -> Self {
-        Links { all: link, own: HashMap::new() }
+    pub fn uniform(link: Link) -> Self {
+        Links { default: link, own: HashMap::new() }
     }
 
     /// The link from one member to another.
     pub fn get(&self, from: usize, to: usize) -> Link {
-        self.own.get(&(from, to)).copied().unwrap_or(self.all)
+        self.own.get(&(from, to)).copied().unwrap_or(self.default)
     }
 
     /// Another law for one direction.
@@ -66,16 +66,16 @@
     }
 
     /// Cuts one direction, or mends it.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
+    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         let link = Link { cut, ..self.get(from, to) };
         self.set(from, to, link);
     }
 
     /// Cuts members into islands: nothing passes between two members of different numbers.
-    pub fn islands(&mut self, island_of: &[usize]) {
+    pub fn partition(&mut self, island_of: &[usize]) {
         for from in 0..island_of.len() {
             for to in 0..island_of.len() {
-                self.cut(from, to, island_of[from] != island_of[to]);
+                self.set_cut(from, to, island_of[from] != island_of[to]);
             }
         }
     }
--- a/crates/kernel/src/search.rs
+++ b/crates/kernel/src/search.rs
@@ -12,18 +12,18 @@
     type Step: Clone + Debug;
 
     /// How it may begin.
-    fn begins(&self) -> Vec<Self::State>;
+    fn initial_states(&self) -> Vec<Self::State>;
     /// What may happen in a state.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
     /// What comes of it.
-    fn take(&self, state: &Self::State, step: &Self::Step) -> Self::State;
+    fn apply(&self, state: &Self::State, step: &Self::Step) -> Self::State;
     /// What is wrong with a state, if anything.
-    fn breach(&self, state: &Self::State) -> Option<String>;
+    fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
 /// What a search found.
 #[derive(Clone, Debug)]
-pub struct Found<S> {
+pub struct SearchResult<S> {
     /// States that were seen.
     pub states: usize,
     /// The longest way to one of them.
@@ -31,22 +31,22 @@
     /// Nothing was left out: there are no further states.
     pub complete: bool,
     /// The shortest way to a breach, and the breach.
-    pub breach: Option<(Vec<S>, String)>,
+    pub violation: Option<(Vec<S>, String)>,
 }
 
 /// Looks through a world up to so many states.
-pub fn search<W: World>(world: &W, most: usize) -> Found<W::Step> {
+pub fn search<W: World>(world: &W, most: usize) -> SearchResult<W::Step> {
     // Each state with the one that it came from, in the order found: an index is enough to walk back.
     type Way<S> = Option<(usize, S)>;
     let mut seen: IndexMap<W::State, (Way<W::Step>, usize)> = IndexMap::new();
-    for state in world.begins() {
+    for state in world.initial_states() {
         seen.insert(state, (None, 0));
     }
     let (mut at, mut depth) = (0, 0);
     while at < seen.len() {
         let Some((state, (_, here))) = seen.get_index(at) else { break };
         depth = depth.max(*here);
-        if let Some(breach) = world.breach(state) {
+        if let Some(breach) = world.violation(state) {
             let mut way = Vec::new();
             let mut from = at;
             while let Some((_, (Some((before, step)), _))) = seen.get_index(from) {
@@ -54,19 +54,24 @@
                 from = *before;
             }
             way.reverse();
-            return Found { states: seen.len(), depth, complete: false, breach: Some((way, breach)) };
+            return SearchResult {
+                states: seen.len(),
+                depth,
+                complete: false,
+                violation: Some((way, breach)),
+            };
         }
         if seen.len() >= most {
-            return Found { states: seen.len(), depth, complete: false, breach: None };
+            return SearchResult { states: seen.len(), depth, complete: false, violation: None };
         }
         let (state, here) = (state.clone(), *here);
         for step in world.steps(&state) {
-            let next = world.take(&state, &step);
+            let next = world.apply(&state, &step);
             seen.entry(next).or_insert_with(|| (Some((at, step)), here + 1));
         }
         at += 1;
     }
-    Found { states: seen.len(), depth, complete: true, breach: None }
+    SearchResult { states: seen.len(), depth, complete: true, violation: None }
 }
 
 #[cfg(test)]
@@ -80,16 +85,16 @@
         type State = (u8, u8);
         type Step = bool;
 
-        fn begins(&self) -> Vec<Self::State> {
+        fn initial_states(&self) -> Vec<Self::State> {
             vec![(0, 0)]
         }
         fn steps(&self, s: &Self::State) -> Vec<bool> {
             [(s.0 < 3, true), (s.1 < 3, false)].into_iter().filter(|(may, _)| *may).map(|(_, s)| s).collect()
         }
-        fn take(&self, s: &Self::State, step: &bool) -> Self::State {
+        fn apply(&self, s: &Self::State, step: &bool) -> Self::State {
             if *step { (s.0 + 1, s.1) } else { (s.0, s.1 + 1) }
         }
-        fn breach(&self, s: &Self::State) -> Option<String> {
+        fn violation(&self, s: &Self::State) -> Option<String> {
             (s.0 + s.1 == 5).then(|| "five".to_owned())
         }
     }
@@ -97,7 +102,7 @@
     #[test]
     fn the_shortest_way_to_a_breach_is_found() {
         let found = search(&Counters, 100);
-        let (way, what) = found.breach.expect("there is one");
+        let (way, what) = found.violation.expect("there is one");
         assert_eq!((way.len(), what.as_str()), (5, "five"));
         assert!(!search(&Counters, 3).complete);
     }
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -1,15 +1,15 @@
 //! One member: packets and time come in, packets, timers and events go out.
 
-use crate::detector::{Ask, Detector};
-use crate::id::{Life, MemberId, Micros};
-use crate::identity::{Identity, OwnNews};
-use crate::members::{Entry, Learnt, Members};
-use crate::packet::{Body, Header, Packet, UPDATES_MOST, Update, Whole};
+use crate::detector::{Action, Detector};
+use crate::id::{InstanceId, MemberId, Micros};
+use crate::identity::{Identity, SelfUpdate};
+use crate::members::{MemberEntry, Members, UpdateOutcome};
+use crate::packet::{Body, FullState, Header, MAX_UPDATES, Packet, Update};
 use crate::record::{Health, Record};
 use crate::roster::{Roster, RosterError, RosterRef};
-use crate::standing::{Evidence, Permits, Share, Standing, permits, standing};
+use crate::standing::{Evidence, MembershipState, Permits, Share, membership_state, permits};
 use crate::support::{Lease, Support, Voter};
-use crate::view::{Settler, View};
+use crate::view::{View, ViewStabilizer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -24,33 +24,33 @@
     /// Between two probes. All else follows from it unless it is set.
     pub period: Micros,
     /// Between two exchanges of all that is known.
-    pub sync: Micros,
+    pub sync_period: Micros,
     /// What is heard must be the same for so long before it becomes the view,
     pub settle: Micros,
     /// or differ from it for this long.
-    pub settle_most: Micros,
+    pub max_settle: Micros,
     /// How long support for a view holds.
     pub lease: Micros,
     /// Clock rates are right within this part of 1.
     pub drift: f64,
     /// Another life under the own name is held to be gone after this silence.
-    pub forget: Micros,
+    pub duplicate_timeout: Micros,
     /// Whether support is asked for all the time. Where it is not, nobody is ever more than unsettled.
-    pub confirm: bool,
+    pub collect_support: bool,
 }
 
 impl Timing {
     /// What follows from a probe period: the lease is long enough for two lost packets in a row.
-    pub fn of(period: Micros) -> Self {
+    pub fn from_period(period: Micros) -> Self {
         Timing {
             period,
-            sync: period * 10,
+            sync_period: period * 10,
             settle: period * 2,
-            settle_most: period * 10,
+            max_settle: period * 10,
             lease: period * 3,
             drift: 0.01,
-            forget: period * 50,
-            confirm: true,
+            duplicate_timeout: period * 50,
+            collect_support: true,
         }
     }
 }
@@ -65,12 +65,12 @@
         /// What.
         packet: Packet,
     },
-    /// Exchange [`Membership::whole`] with a member.
+    /// Exchange [`Membership::full_state`] with a member.
     Sync {
         /// With whom.
         with: MemberId,
     },
-    /// Write this boot number to the folder and call [`Membership::persisted`]; nothing is said before.
+    /// Write this boot number to the folder and call [`Membership::boot_persisted`]; nothing is said before.
     Persist {
         /// The boot.
         boot: u64,
@@ -83,32 +83,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Another stable view.
-    View(View),
+    ViewChanged(View),
     /// Another standing.
-    Standing {
+    StateChanged {
         /// Before.
-        from: Standing,
+        from: MembershipState,
         /// Now.
-        to: Standing,
+        to: MembershipState,
     },
     /// A member goes by another roster.
-    Disagrees {
+    RosterMismatch {
         /// Which.
-        with: MemberId,
+        member: MemberId,
         /// Its roster.
-        theirs: RosterRef,
+        roster: RosterRef,
     },
     /// This process was stopped for so long (microseconds).
-    Woke(Micros),
+    Resumed(Micros),
 }
 
 /// What was refused, by reason: told to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refused {
+pub struct Rejected {
     /// Packets of nobody of the roster, or of oneself.
-    pub strangers: u64,
+    pub unknown_senders: u64,
     /// Words that cannot be true, or about nobody of the roster.
-    pub words: u64,
+    pub updates: u64,
     /// Support that was not asked for, or of an earlier boot.
     pub support: u64,
 }
@@ -123,7 +123,7 @@
     identity: Identity,
     members: Members,
     detector: Detector,
-    settler: Settler,
+    settler: ViewStabilizer,
     /// The changes of members, and the own boot, that the settler has seen.
     settled_of: Option<(u64, u64)>,
     voter: Voter,
@@ -137,8 +137,8 @@
     next_knock: Micros,
     next_sync: Micros,
     next_ask: Micros,
-    told: Standing,
-    refused: Refused,
+    told: MembershipState,
+    refused: Rejected,
     outputs: Vec<Output>,
 }
 
@@ -153,18 +153,18 @@
         roster: Roster,
         me: &str,
         boot: u64,
-        life: Life,
+        life: InstanceId,
         timing: Timing,
         seed: u64,
     ) -> Result<Self, RosterError> {
-        let id = MemberId::of(me);
-        if !roster.has(id) {
-            return Err(RosterError::NotMe(me.to_owned()));
+        let id = MemberId::from_name(me);
+        if !roster.contains(id) {
+            return Err(RosterError::NotAMember(me.to_owned()));
         }
         let lease = Lease::new(timing.lease, timing.drift);
         let view = View::new(roster.reference(), [(id, boot)].into());
         let mut support = Support::default();
-        support.view(view.id);
+        support.set_view(view.id);
         let identity = Identity::new(boot, life);
         let mut members = Members::new(&roster, id, timing.period);
         members.announce(Update { about: id, record: identity.record(), by: id });
@@ -178,19 +178,19 @@
             identity,
             members,
             detector: Detector::new(timing.period, first),
-            settler: Settler::new(now, timing.settle, timing.settle_most, view),
+            settler: ViewStabilizer::new(now, timing.settle, timing.max_settle, view),
             settled_of: None,
             voter: Voter::new(now, lease),
             support,
             rng,
             seen: now,
             due: now,
-            unsure: (!alone).then_some((u64::MAX, now + timing.settle_most)),
+            unsure: (!alone).then_some((u64::MAX, now + timing.max_settle)),
             next_knock: first,
             next_sync: first,
             next_ask: now,
-            told: Standing::NotYetKnown,
-            refused: Refused::default(),
+            told: MembershipState::NotYetKnown,
+            refused: Rejected::default(),
             outputs: Vec::new(),
             timing,
             roster,
@@ -200,7 +200,7 @@
     // ---- What it knows ----
 
     /// Its id.
-    pub fn me(&self) -> MemberId {
+    pub fn local_id(&self) -> MemberId {
         self.me
     }
 
@@ -215,27 +215,27 @@
     }
 
     /// What it says of itself.
-    pub fn record(&self) -> Record {
+    pub fn local_record(&self) -> Record {
         self.identity.record()
     }
 
     /// What it knows of the others.
-    pub fn members(&self) -> impl Iterator<Item = (MemberId, &Entry)> {
+    pub fn members(&self) -> impl Iterator<Item = (MemberId, &MemberEntry)> {
         self.members.iter()
     }
 
     /// Counts up whenever what it knows of anybody changes.
-    pub fn changes(&self) -> u64 {
-        self.members.changes()
+    pub fn change_count(&self) -> u64 {
+        self.members.change_count()
     }
 
     /// What it knows of another member.
-    pub fn member(&self, id: MemberId) -> Option<&Entry> {
+    pub fn member(&self, id: MemberId) -> Option<&MemberEntry> {
         self.members.get(id)
     }
 
     /// What was refused.
-    pub fn refused(&self) -> Refused {
+    pub fn rejected(&self) -> Rejected {
         self.refused
     }
 
@@ -246,23 +246,23 @@
 
     /// How it stands at a moment. To be asked at the last step before an act, with the clock read then: a process
     /// that was stopped between two looks has no support left, and is not sure of itself.
-    pub fn standing(&self, now: Micros) -> Standing {
-        standing(&self.evidence(now))
+    pub fn state(&self, now: Micros) -> MembershipState {
+        membership_state(&self.evidence(now))
     }
 
     /// What it may do at a moment.
     pub fn permits(&self, now: Micros) -> Permits {
-        permits(self.standing(now))
+        permits(self.state(now))
     }
 
     /// Until when its standing holds if nothing more is heard: whoever copies the standing copies this moment too.
-    pub fn standing_until(&self) -> Micros {
+    pub fn state_until(&self) -> Micros {
         let stale = self.stale_at();
         let mut ends: Vec<Micros> = self.roster.voters().map(|id| self.support.until(id)).collect();
         ends.sort_unstable();
         // The standing falls with the first end by which no majority is left.
-        let falls = ends.into_iter().find(|at| !self.roster.is_majority(|id| self.support.holds(*at, id)));
-        let supported = self.roster.is_majority(|id| self.support.holds(self.seen, id));
+        let falls = ends.into_iter().find(|at| !self.roster.is_majority(|id| self.support.is_valid(*at, id)));
+        let supported = self.roster.is_majority(|id| self.support.is_valid(self.seen, id));
         if supported { falls.unwrap_or(stale).min(stale) } else { stale }
     }
 
@@ -273,13 +273,13 @@
     fn evidence(&self, now: Micros) -> Evidence {
         let members = &self.settler.view().members;
         Evidence {
-            known: self.unsure.is_none() && now < self.stale_at() && !self.identity.is_mute(),
+            known: self.unsure.is_none() && now < self.stale_at() && !self.identity.is_muted(),
             leaving: self.identity.is_leaving(),
-            doubled: self.identity.is_doubled(now, self.timing.forget),
-            there: members.len(),
-            roster: self.roster.len(),
+            duplicate_name: self.identity.has_duplicate(now, self.timing.duplicate_timeout),
+            view_size: members.len(),
+            roster_size: self.roster.len(),
             majority: self.roster.is_majority(|id| members.contains_key(&id)),
-            supported: self.roster.is_majority(|id| self.support.holds(now, id)),
+            supported: self.roster.is_majority(|id| self.support.is_valid(now, id)),
         }
     }
 
@@ -287,24 +287,24 @@
     /// falls with the stable view alone. So the rest shrink before one that returns takes its part.
     pub fn senders(&self, now: Micros) -> usize {
         match self.permits(now).share {
-            Share::View => self.view().members.len().max(self.members.there().len() + 1),
+            Share::View => self.view().members.len().max(self.members.present().len() + 1),
             Share::Roster | Share::Nothing => self.roster.len(),
         }
     }
 
     /// When [`Membership::tick`] is to be called, unless something comes before.
     pub fn next_wake(&self) -> Micros {
-        let ends = self.members.next_end().unwrap_or(Micros::MAX);
-        let settles = self.settler.next_look(self.members.suspects()).unwrap_or(Micros::MAX);
+        let ends = self.members.next_suspicion_deadline().unwrap_or(Micros::MAX);
+        let settles = self.settler.next_wake(self.members.suspect_count()).unwrap_or(Micros::MAX);
         let sure = self.unsure.map_or(Micros::MAX, |(_, until)| until);
-        let asks = if self.timing.confirm { self.next_ask } else { Micros::MAX };
+        let asks = if self.timing.collect_support { self.next_ask } else { Micros::MAX };
         let own = self.next_knock.min(self.next_sync).min(asks);
-        let probes = if self.identity.is_mute() { Micros::MAX } else { self.detector.next_look() };
+        let probes = if self.identity.is_muted() { Micros::MAX } else { self.detector.next_wake() };
         probes.min(ends).min(settles).min(sure).min(own).max(self.seen + 1)
     }
 
     /// What the host is to do by now.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -313,12 +313,12 @@
     /// Time has passed.
     pub fn tick(&mut self, now: Micros) {
         let now = self.look(now);
-        for dead in self.members.run_out(now, self.me) {
-            self.members.learn(now, dead);
+        for dead in self.members.expired_suspicions(now, self.me) {
+            self.members.apply(now, dead);
         }
         let mut asks = Vec::new();
-        if !self.identity.is_mute() {
-            self.detector.tick(now, self.members.there(), &mut self.rng, &mut asks);
+        if !self.identity.is_muted() {
+            self.detector.tick(now, self.members.present(), &mut self.rng, &mut asks);
         }
         for ask in asks {
             self.ask(now, ask);
@@ -328,11 +328,11 @@
             self.knock();
         }
         if now >= self.next_sync {
-            let spread = self.rng.random_range(0..self.timing.sync.max(2) / 2);
-            self.next_sync = now + self.timing.sync * 3 / 4 + spread;
+            let spread = self.rng.random_range(0..self.timing.sync_period.max(2) / 2);
+            self.next_sync = now + self.timing.sync_period * 3 / 4 + spread;
             self.sync();
         }
-        if self.timing.confirm && now >= self.next_ask {
+        if self.timing.collect_support && now >= self.next_ask {
             self.next_ask = now + self.timing.lease / 3;
             self.ask_support(now);
         }
@@ -344,13 +344,14 @@
         let now = self.look(now);
         let Packet { header, body, updates } = packet;
         let from = header.from;
-        if !self.roster.has(from) || updates.len() > UPDATES_MOST {
-            self.refused.strangers += 1;
+        if !self.roster.contains(from) || updates.len() > MAX_UPDATES {
+            self.refused.unknown_senders += 1;
             return;
         }
         if from == self.me {
             // Another process under this name, or the network's echo of this one.
-            let record = Record { inc: header.inc, health: Health::Alive, life: header.life };
+            let record =
+                Record { incarnation: header.incarnation, health: Health::Alive, instance: header.instance };
             self.own_word(now, &record);
             self.settled(now);
             return;
@@ -359,41 +360,41 @@
         updates.into_iter().for_each(|word| self.learn(now, word));
         match body {
             Body::Ping { seq } => self.send(from, Body::Ack { seq }),
-            Body::PingFor { seq, target } if target != self.me && self.roster.has(target) => {
-                if let Some(ask) = self.detector.ping_for(now, from, seq, target) {
+            Body::PingReq { seq, target } if target != self.me && self.roster.contains(target) => {
+                if let Some(ask) = self.detector.handle_ping_req(now, from, seq, target) {
                     self.ask(now, ask);
                 }
             }
-            Body::PingFor { .. } => self.refused.words += 1,
+            Body::PingReq { .. } => self.refused.updates += 1,
             Body::Ack { seq } => {
                 if self.unsure.is_some_and(|(after, _)| seq > after) {
                     self.unsure = None;
                 }
-                if let Some(ask) = self.detector.acked(seq, from) {
+                if let Some(ask) = self.detector.handle_ack(seq, from) {
                     self.ask(now, ask);
                 }
             }
-            Body::Nack { seq } => self.detector.nacked(seq),
-            Body::Ask { at } => self.asked(now, &header, at),
-            Body::Support { view, at } => self.supported(now, &header, view, at),
-            Body::Words => {}
+            Body::Nack { seq } => self.detector.handle_nack(seq),
+            Body::SupportRequest { at } => self.asked(now, &header, at),
+            Body::SupportGrant { view, at } => self.supported(now, &header, view, at),
+            Body::Gossip => {}
         }
         self.refute(from, &header, body);
         self.settled(now);
     }
 
     /// All that it knows, for another member.
-    pub fn whole(&self) -> Whole {
+    pub fn full_state(&self) -> FullState {
         let own = Update { about: self.me, record: self.identity.record(), by: self.me };
-        let updates = std::iter::once(own).chain(self.members.all_words()).collect();
-        Whole { header: self.header(), updates }
+        let updates = std::iter::once(own).chain(self.members.all_updates()).collect();
+        FullState { header: self.header(), updates }
     }
 
     /// All that another member knows. False if it is nobody of the roster.
-    pub fn take_whole(&mut self, now: Micros, whole: Whole) -> bool {
+    pub fn merge_full_state(&mut self, now: Micros, whole: FullState) -> bool {
         let now = self.look(now);
-        if !self.roster.has(whole.header.from) || whole.updates.len() > crate::roster::MEMBERS_MOST {
-            self.refused.strangers += 1;
+        if !self.roster.contains(whole.header.from) || whole.updates.len() > crate::roster::MAX_MEMBERS {
+            self.refused.unknown_senders += 1;
             return false;
         }
         if whole.header.from != self.me {
@@ -405,8 +406,8 @@
     }
 
     /// The folder holds a boot number that [`Output::Persist`] asked for.
-    pub fn persisted(&mut self, now: Micros, boot: u64) {
-        self.identity.persisted(boot);
+    pub fn boot_persisted(&mut self, now: Micros, boot: u64) {
+        self.identity.boot_persisted(boot);
         self.members.announce(Update { about: self.me, record: self.identity.record(), by: self.me });
         self.settled(now);
     }
@@ -415,9 +416,9 @@
     pub fn leave(&mut self, now: Micros) {
         self.identity.leave();
         self.members.announce(Update { about: self.me, record: self.identity.record(), by: self.me });
-        let mut there = self.members.there().to_vec();
+        let mut there = self.members.present().to_vec();
         rand::seq::SliceRandom::shuffle(&mut there[..], &mut self.rng);
-        there.into_iter().take(FAREWELLS).for_each(|to| self.send(to, Body::Words));
+        there.into_iter().take(FAREWELLS).for_each(|to| self.send(to, Body::Gossip));
         self.settled(now);
     }
 
@@ -428,12 +429,12 @@
     /// It does not follow the one in force, or this process is not in it.
     pub fn change_roster(&mut self, now: Micros, next: Roster) -> Result<(), RosterError> {
         next.follows(&self.roster)?;
-        if !next.has(self.me) {
-            return Err(RosterError::NotMe(self.roster.name(self.me).unwrap_or_default().to_owned()));
+        if !next.contains(self.me) {
+            return Err(RosterError::NotAMember(self.roster.name_of(self.me).unwrap_or_default().to_owned()));
         }
-        self.members.roster(now, &next, self.me);
-        self.settler.roster(next.reference());
-        self.support.view(self.settler.view().id);
+        self.members.set_roster(now, &next, self.me);
+        self.settler.set_roster(next.reference());
+        self.support.set_view(self.settler.view().id);
         self.roster = next;
         self.settled(now);
         Ok(())
@@ -448,13 +449,13 @@
         let late = now.saturating_sub(self.due.max(self.seen));
         if late >= self.timing.period {
             // Answers to probes numbered above this were asked for after now.
-            let after = self.detector.last_number();
-            self.unsure = (self.roster.len() > 1).then_some((after, now + self.timing.settle_most));
-            self.members.put_off(late);
-            self.detector.woke(now);
-            self.outputs.push(Output::Event(Event::Woke(late)));
+            let after = self.detector.last_seq();
+            self.unsure = (self.roster.len() > 1).then_some((after, now + self.timing.max_settle));
+            self.members.extend_suspicions(late);
+            self.detector.resume(now);
+            self.outputs.push(Output::Event(Event::Resumed(late)));
         } else if late >= self.timing.period / 4 {
-            self.detector.health.worse(1);
+            self.detector.health.degrade(1);
         }
         self.seen = now;
         self.due = self.due.max(now);
@@ -465,8 +466,8 @@
         let record = self.identity.record();
         Header {
             from: self.me,
-            inc: record.inc,
-            life: record.life,
+            incarnation: record.incarnation,
+            instance: record.instance,
             roster: self.roster.reference(),
             view: self.settler.view().id,
         }
@@ -481,11 +482,11 @@
     fn send_about(&mut self, to: MemberId, body: Body, third: Option<MemberId>) {
         // Before the boot is on disk, and while another speaks under the same name, nothing is said. Probes of a
         // doubled one would keep a quarrel alive.
-        if self.identity.is_mute() || self.identity.is_doubled(self.seen, self.timing.forget) {
+        if self.identity.is_muted() || self.identity.has_duplicate(self.seen, self.timing.duplicate_timeout) {
             return;
         }
-        let mut updates = self.members.words(to, UPDATES_MOST - usize::from(third.is_some()));
-        if let Some(word) = third.and_then(|id| self.members.word(id)) {
+        let mut updates = self.members.updates_for(to, MAX_UPDATES - usize::from(third.is_some()));
+        if let Some(word) = third.and_then(|id| self.members.update_about(id)) {
             updates.retain(|update| update.about != word.about);
             updates.insert(0, word);
         }
@@ -493,21 +494,21 @@
         self.outputs.push(Output::Send { to, packet });
     }
 
-    fn ask(&mut self, now: Micros, ask: Ask) {
+    fn ask(&mut self, now: Micros, ask: Action) {
         match ask {
-            Ask::Ping(to, seq) => self.send(to, Body::Ping { seq }),
-            Ask::PingFor(to, seq, target) => {
-                self.send_about(to, Body::PingFor { seq, target }, Some(target));
+            Action::Ping(to, seq) => self.send(to, Body::Ping { seq }),
+            Action::PingReq(to, seq, target) => {
+                self.send_about(to, Body::PingReq { seq, target }, Some(target));
             }
-            Ask::Ack(to, seq, target) => self.send_about(to, Body::Ack { seq }, Some(target)),
-            Ask::Nack(to, seq) => self.send(to, Body::Nack { seq }),
-            Ask::Silent(id) => {
-                let Some(record) = self.members.get(id).map(|e| e.record).filter(|r| r.health.is_there())
+            Action::Ack(to, seq, target) => self.send_about(to, Body::Ack { seq }, Some(target)),
+            Action::Nack(to, seq) => self.send(to, Body::Nack { seq }),
+            Action::Suspect(id) => {
+                let Some(record) = self.members.get(id).map(|e| e.record).filter(|r| r.health.is_present())
                 else {
                     return;
                 };
                 let record = Record { health: Health::Suspect, ..record };
-                self.members.learn(now, Update { about: id, record, by: self.me });
+                self.members.apply(now, Update { about: id, record, by: self.me });
             }
         }
     }
@@ -516,48 +517,49 @@
     fn speaks(&mut self, now: Micros, header: &Header) {
         let known = self.members.get(header.from).and_then(|e| e.roster);
         if header.roster != self.roster.reference() && known != Some(header.roster) {
-            let event = Event::Disagrees { with: header.from, theirs: header.roster };
+            let event = Event::RosterMismatch { member: header.from, roster: header.roster };
             self.outputs.push(Output::Event(event));
         }
-        self.members.heard(now, header.from, header.roster);
-        let record = Record { inc: header.inc, health: Health::Alive, life: header.life };
+        self.members.packet_received(now, header.from, header.roster);
+        let record =
+            Record { incarnation: header.incarnation, health: Health::Alive, instance: header.instance };
         self.learn(now, Update { about: header.from, record, by: header.from });
     }
 
     fn learn(&mut self, now: Micros, word: Update) {
         if word.about == self.me {
             self.own_word(now, &word.record);
-        } else if self.members.learn(now, word) == Learnt::Refused {
-            self.refused.words += 1;
+        } else if self.members.apply(now, word) == UpdateOutcome::Rejected {
+            self.refused.updates += 1;
         }
     }
 
     fn own_word(&mut self, now: Micros, record: &Record) {
-        match self.identity.hears(now, record) {
-            OwnNews::Nothing => {}
-            OwnNews::Refuted => {
+        match self.identity.observe(now, record) {
+            SelfUpdate::Unchanged => {}
+            SelfUpdate::Refuted => {
                 // To be suspected may be one's own slowness.
-                self.detector.health.worse(1);
+                self.detector.health.degrade(1);
                 self.members.announce(Update { about: self.me, record: self.identity.record(), by: self.me });
             }
-            OwnNews::Persist(boot) => self.outputs.push(Output::Persist { boot }),
+            SelfUpdate::Persist(boot) => self.outputs.push(Output::Persist { boot }),
         }
     }
 
     /// One that speaks while it is held to be suspected, dead or older than what is known hears that at once.
     fn refute(&mut self, from: MemberId, header: &Header, body: Body) {
         let Some(entry) = self.members.get(from) else { return };
-        let wrong =
-            !matches!(entry.record.health, Health::Alive | Health::Left) || entry.record.inc > header.inc;
+        let wrong = !matches!(entry.record.health, Health::Alive | Health::Left)
+            || entry.record.incarnation > header.incarnation;
         if !wrong || matches!(body, Body::Ping { .. }) && entry.record.health != Health::Alive {
             // An answer to a ping takes the word along.
             return;
         }
-        let word = Update { about: from, record: entry.record, by: entry.by.unwrap_or(from) };
-        if self.identity.is_mute() || self.identity.is_doubled(self.seen, self.timing.forget) {
+        let word = Update { about: from, record: entry.record, by: entry.source.unwrap_or(from) };
+        if self.identity.is_muted() || self.identity.has_duplicate(self.seen, self.timing.duplicate_timeout) {
             return;
         }
-        let packet = Packet { header: self.header(), body: Body::Words, updates: vec![word] };
+        let packet = Packet { header: self.header(), body: Body::Gossip, updates: vec![word] };
         self.outputs.push(Output::Send { to: from, packet });
     }
 
@@ -571,10 +573,10 @@
     }
 
     fn sync(&mut self) {
-        let there = self.members.there();
+        let there = self.members.present();
         let of: Vec<MemberId> =
             if there.is_empty() { self.members.missing().collect() } else { there.to_vec() };
-        if !of.is_empty() && !self.identity.is_mute() {
+        if !of.is_empty() && !self.identity.is_muted() {
             let with = of[self.rng.random_range(0..of.len())];
             self.outputs.push(Output::Sync { with });
         }
@@ -590,25 +592,25 @@
         let voters: Vec<MemberId> = self.roster.voters().filter(|v| view.members.contains_key(v)).collect();
         for voter in voters {
             if voter != self.me {
-                self.send(voter, Body::Ask { at: now });
-            } else if self.may_vote(now) && self.voter.supports(now, id, self.lease) {
-                self.support.granted(voter, id, now, self.lease);
+                self.send(voter, Body::SupportRequest { at: now });
+            } else if self.may_vote(now) && self.voter.try_support(now, id, self.lease) {
+                self.support.record_grant(voter, id, now, self.lease);
             }
         }
     }
 
     fn may_vote(&self, now: Micros) -> bool {
-        !self.identity.is_mute()
+        !self.identity.is_muted()
             && !self.identity.is_leaving()
-            && !self.identity.is_doubled(now, self.timing.forget)
+            && !self.identity.has_duplicate(now, self.timing.duplicate_timeout)
     }
 
     /// Somebody asks for support: given where both hold the same view.
     fn asked(&mut self, now: Micros, header: &Header, at: Micros) {
         let view = self.settler.view().id;
         let votes = self.may_vote(now) && self.roster.voters().any(|id| id == self.me);
-        if votes && header.view == view && self.voter.supports(now, view, self.lease) {
-            self.send(header.from, Body::Support { view, at });
+        if votes && header.view == view && self.voter.try_support(now, view, self.lease) {
+            self.send(header.from, Body::SupportGrant { view, at });
         }
     }
 
@@ -616,44 +618,44 @@
         let boot = self.settler.view().members.get(&header.from);
         let votes = self.roster.voters().any(|id| id == header.from);
         // What was never asked, or by a process that is not the one of the view, is nobody's support.
-        if at > now || !votes || (view == self.settler.view().id && boot != Some(&header.inc.boot)) {
+        if at > now || !votes || (view == self.settler.view().id && boot != Some(&header.incarnation.boot)) {
             self.refused.support += 1;
             return;
         }
-        self.support.granted(header.from, view, at, self.lease);
+        self.support.record_grant(header.from, view, at, self.lease);
     }
 
     /// Whether the view is another one. Most packets change nothing of who is there, and cost no look at all members.
     fn step(&mut self, now: Micros) -> bool {
         let boot = self.identity.incarnation().boot;
-        let of = (self.members.changes(), boot);
-        if self.settled_of == Some(of) && self.settler.is_at_rest() {
+        let of = (self.members.change_count(), boot);
+        if self.settled_of == Some(of) && self.settler.is_idle() {
             return false;
         }
         self.settled_of = Some(of);
-        let mut present = self.members.present();
+        let mut present = self.members.present_boots();
         present.insert(self.me, boot);
-        self.settler.observe(now, present, self.members.suspects(), self.roster.reference())
+        self.settler.observe(now, present, self.members.suspect_count(), self.roster.reference())
     }
 
     /// What follows from all that was heard: view, certainty, standing.
     fn settled(&mut self, now: Micros) {
-        self.identity.forget(now, self.timing.forget);
+        self.identity.expire_rivals(now, self.timing.duplicate_timeout);
         if self.step(now) {
             let view = self.settler.view().clone();
-            self.support.view(view.id);
+            self.support.set_view(view.id);
             self.next_ask = now;
             if self.unsure.is_some_and(|(after, _)| after == u64::MAX) {
                 self.unsure = None;
             }
-            self.outputs.push(Output::Event(Event::View(view)));
+            self.outputs.push(Output::Event(Event::ViewChanged(view)));
         }
         if self.unsure.is_some_and(|(_, until)| now >= until) {
             self.unsure = None;
         }
-        let standing = self.standing(now);
+        let standing = self.state(now);
         if standing != self.told {
-            self.outputs.push(Output::Event(Event::Standing { from: self.told, to: standing }));
+            self.outputs.push(Output::Event(Event::StateChanged { from: self.told, to: standing }));
             self.told = standing;
         }
         self.due = self.next_wake().max(now);
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -7,7 +7,7 @@
 
 /// Others that are asked to try where one's own probe was not answered; so many further ones where they had no answer
 /// either.
-pub const HELPERS: usize = 3;
+pub const INDIRECT_PROBES: usize = 3;
 /// Local health goes from 0 to this: all own times are up to so many times as long and one. Lifeguard goes to 8; here a
 /// process sees by its own clock that it was slow, and in a small island, where most helpers are gone as well, a
 /// longer period would only put off what is true.
@@ -27,17 +27,17 @@
 
 impl LocalHealth {
     /// Something went well.
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
     /// Something went ill that may be one's own fault.
-    pub fn worse(&mut self, by: u32) {
+    pub fn degrade(&mut self, by: u32) {
         self.0 = (self.0 + by).min(HEALTH_MOST);
     }
 
     /// Own times are to be so many times as long.
-    pub fn factor(self) -> u64 {
+    pub fn multiplier(self) -> u64 {
         u64::from(self.0) + 1
     }
 }
@@ -66,14 +66,14 @@
     }
 
     /// When it ends with the member dead, unless that refutes it.
-    pub fn ends(&self) -> Micros {
+    pub fn deadline(&self) -> Micros {
         let confirmed = (self.by.len() - 1).min(CONFIRM) as f64;
         let part = (confirmed + 1.0).ln() / (CONFIRM as f64 + 1.0).ln();
         self.start + self.most - ((self.most - self.least) as f64 * part) as Micros
     }
 
     /// This process was stopped for so long: nobody could have refuted anything to it.
-    pub fn put_off(&mut self, by: Micros) {
+    pub fn extend(&mut self, by: Micros) {
         self.start += by;
     }
 }
@@ -105,17 +105,17 @@
 
 /// What is to be said, and found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Action {
     /// Ask whether it is there.
     Ping(MemberId, u64),
     /// Ask one to ask another.
-    PingFor(MemberId, u64, MemberId),
+    PingReq(MemberId, u64, MemberId),
     /// Tell who asked that the other, named last, is there.
     Ack(MemberId, u64, MemberId),
     /// Tell who asked that the other has not answered yet.
     Nack(MemberId, u64),
     /// It did not answer in time.
-    Silent(MemberId),
+    Suspect(MemberId),
 }
 
 /// Asks one member after another.
@@ -153,7 +153,7 @@
     }
 
     /// When there is something to do.
-    pub fn next_look(&self) -> Micros {
+    pub fn next_wake(&self) -> Micros {
         let probe = self.probe.as_ref().filter(|p| !p.acked);
         let probe = probe.map_or(Micros::MAX, |p| if p.helpers.is_empty() { p.helped_at } else { p.ends });
         let forwards = self.forwards.values().map(|f| if f.nacked { f.ends } else { f.nack_at });
@@ -161,63 +161,63 @@
     }
 
     /// The number of the last probe.
-    pub fn last_number(&self) -> u64 {
+    pub fn last_seq(&self) -> u64 {
         self.seq
     }
 
     /// A number for a probe.
-    fn number(&mut self) -> u64 {
+    fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
     }
 
     /// Looks at its times. `others` are the members that may be asked.
-    pub fn tick(&mut self, now: Micros, others: &[MemberId], rng: &mut ChaCha8Rng, out: &mut Vec<Ask>) {
+    pub fn tick(&mut self, now: Micros, others: &[MemberId], rng: &mut ChaCha8Rng, out: &mut Vec<Action>) {
         for forward in self.forwards.values_mut().filter(|f| !f.nacked && now >= f.nack_at) {
             forward.nacked = true;
-            out.push(Ask::Nack(forward.origin, forward.origin_seq));
+            out.push(Action::Nack(forward.origin, forward.origin_seq));
         }
         self.forwards.retain(|_, forward| now < forward.ends);
         self.help(now, others, rng, out);
         if let Some(probe) = self.probe.take_if(|p| !p.acked && now >= p.ends) {
             // Helpers that said nothing at all: the fault may lie here.
             if probe.nacks == 0 {
-                self.health.worse(1);
+                self.health.degrade(1);
             }
             // First the word of it: whoever reaches the member takes it along, and brings the answer back.
-            out.push(Ask::Silent(probe.target));
+            out.push(Action::Suspect(probe.target));
             let asked = probe.helpers.iter().chain([&probe.target]);
             let asked: Vec<MemberId> = asked.copied().collect();
             let further = others.iter().copied().filter(|id| !asked.contains(id));
-            let further: Vec<MemberId> = further.sample(rng, HELPERS);
-            out.extend(further.into_iter().map(|helper| Ask::PingFor(helper, probe.seq, probe.target)));
+            let further: Vec<MemberId> = further.sample(rng, INDIRECT_PROBES);
+            out.extend(further.into_iter().map(|helper| Action::PingReq(helper, probe.seq, probe.target)));
             self.given_up = Some((probe.seq, probe.target));
         }
         if now >= self.next_probe && self.probe.as_ref().is_none_or(|p| p.acked) {
-            let span = self.period * self.health.factor();
+            let span = self.period * self.health.multiplier();
             self.next_probe = now + span;
             self.probe = self.next_target(others, rng).map(|target| {
-                let seq = self.number();
-                out.push(Ask::Ping(target, seq));
+                let seq = self.next_seq();
+                out.push(Action::Ping(target, seq));
                 let (helped_at, ends) = (now + span * 2 / 5, now + span);
                 Probe { seq, target, helped_at, ends, helpers: Vec::new(), nacks: 0, acked: false }
             });
         }
     }
 
-    fn help(&mut self, now: Micros, others: &[MemberId], rng: &mut ChaCha8Rng, out: &mut Vec<Ask>) {
+    fn help(&mut self, now: Micros, others: &[MemberId], rng: &mut ChaCha8Rng, out: &mut Vec<Action>) {
         let Some(probe) = self.probe.as_mut() else { return };
         if probe.acked || !probe.helpers.is_empty() || now < probe.helped_at || now >= probe.ends {
             return;
         }
         let way = self.ways.get(&probe.target).filter(|helper| others.contains(helper)).copied();
         let by_chance = others.iter().copied().filter(|id| *id != probe.target && Some(*id) != way);
-        let by_chance: Vec<MemberId> = by_chance.sample(rng, HELPERS - usize::from(way.is_some()));
+        let by_chance: Vec<MemberId> = by_chance.sample(rng, INDIRECT_PROBES - usize::from(way.is_some()));
         probe.helpers = way.into_iter().chain(by_chance).collect();
-        let ask = |helper: &MemberId| Ask::PingFor(*helper, probe.seq, probe.target);
+        let ask = |helper: &MemberId| Action::PingReq(*helper, probe.seq, probe.target);
         out.extend(probe.helpers.iter().map(ask));
         // Once more by itself: the first may have been lost alone.
-        out.push(Ask::Ping(probe.target, probe.seq));
+        out.push(Action::Ping(probe.target, probe.seq));
         if probe.helpers.is_empty() {
             probe.helped_at = probe.ends;
         }
@@ -240,27 +240,27 @@
     }
 
     /// Somebody asks whether another is there.
-    pub fn ping_for(
+    pub fn handle_ping_req(
         &mut self,
         now: Micros,
         origin: MemberId,
         origin_seq: u64,
         target: MemberId,
-    ) -> Option<Ask> {
+    ) -> Option<Action> {
         if self.forwards.len() >= FORWARDS_MOST {
             return None;
         }
-        let seq = self.number();
+        let seq = self.next_seq();
         // The other waits for three fifths of its period; a word in time must be under way before that.
         let (nack_at, ends) = (now + self.period * 2 / 5, now + self.period * 2);
         self.forwards.insert(seq, Forward { origin, origin_seq, target, nack_at, ends, nacked: false });
-        Some(Ask::Ping(target, seq))
+        Some(Action::Ping(target, seq))
     }
 
     /// An answer to a probe has come, from the member itself or from a helper; whom that answers in turn.
-    pub fn acked(&mut self, seq: u64, from: MemberId) -> Option<Ask> {
+    pub fn handle_ack(&mut self, seq: u64, from: MemberId) -> Option<Action> {
         if let Some(forward) = self.forwards.remove(&seq) {
-            return Some(Ask::Ack(forward.origin, forward.origin_seq, forward.target));
+            return Some(Action::Ack(forward.origin, forward.origin_seq, forward.target));
         }
         let out = self.probe.as_ref().map(|p| (p.seq, p.target));
         if let Some((_, target)) = out.into_iter().chain(self.given_up).find(|(number, _)| *number == seq) {
@@ -272,24 +272,24 @@
         }
         if let Some(probe) = self.probe.as_mut().filter(|p| p.seq == seq && !p.acked) {
             probe.acked = true;
-            self.health.better();
+            self.health.improve();
         }
         None
     }
 
     /// A helper is there and has heard nothing.
-    pub fn nacked(&mut self, seq: u64) {
+    pub fn handle_nack(&mut self, seq: u64) {
         if let Some(probe) = self.probe.as_mut().filter(|p| p.seq == seq) {
             probe.nacks += 1;
         }
     }
 
     /// Whatever is out was not answered because this process did not listen.
-    pub fn woke(&mut self, now: Micros) {
+    pub fn resume(&mut self, now: Micros) {
         self.probe = None;
         self.forwards.clear();
         self.next_probe = now;
-        self.health.worse(1);
+        self.health.degrade(1);
     }
 }
 
--- a/crates/membership/src/detector/tests.rs
+++ b/crates/membership/src/detector/tests.rs
@@ -9,10 +9,10 @@
     for round in 0..400u64 {
         let mut out = Vec::new();
         detector.tick(round * 10, &others, &mut rng, &mut out);
-        let Some(Ask::Ping(id, seq)) = out.first() else { panic!("{out:?}") };
+        let Some(Action::Ping(id, seq)) = out.first() else { panic!("{out:?}") };
         let before = last.insert(*id, round).unwrap_or(0);
         assert!(round - before < 40, "{id:?} waited {}", round - before);
-        detector.acked(*seq, *id);
+        detector.handle_ack(*seq, *id);
     }
     assert_eq!(last.len(), 20);
 }
@@ -24,7 +24,7 @@
         by.iter().for_each(|by| {
             s.confirm(MemberId(*by));
         });
-        s.ends()
+        s.deadline()
     };
     assert_eq!(start(&[0, 0, 0]), 24_000);
     assert_eq!(start(&[1, 2, 3]), 6_000);
@@ -40,13 +40,13 @@
     for now in 0..12 {
         detector.tick(now, &others, &mut rng, &mut out);
     }
-    assert!(out.iter().any(|ask| matches!(ask, Ask::Silent(_))));
-    assert_eq!(detector.health.factor(), 2);
+    assert!(out.iter().any(|ask| matches!(ask, Action::Suspect(_))));
+    assert_eq!(detector.health.multiplier(), 2);
     // One that hears at least that the others have heard nothing does not.
     let mut detector = Detector::new(10, 0);
     for now in 0..12 {
         detector.tick(now, &others, &mut rng, &mut out);
-        detector.nacked(1);
+        detector.handle_nack(1);
     }
-    assert_eq!(detector.health.factor(), 1);
+    assert_eq!(detector.health.multiplier(), 1);
 }
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -18,10 +18,10 @@
     ///
     /// ```
     /// use yarrowhill_membership::MemberId;
-    /// assert_eq!(MemberId::of("n1"), MemberId::of("n1"));
-    /// assert_ne!(MemberId::of("n1"), MemberId::of("n2"));
+    /// assert_eq!(MemberId::from_name("n1"), MemberId::from_name("n1"));
+    /// assert_ne!(MemberId::from_name("n1"), MemberId::from_name("n2"));
     /// ```
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         MemberId(xxh3_64(name.as_bytes()))
     }
 }
@@ -29,7 +29,7 @@
 /// One process from its start to its end: drawn by chance at each start, so that two processes under one name, or a
 /// process and what is remembered of the one before it, can be told apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct InstanceId(pub u64);
 
 /// How new a word about a member is: its boots are counted in its folder, its refutations within a boot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -37,22 +37,22 @@
     /// Starts of the member. Written to the folder before the first packet under it leaves.
     pub boot: u64,
     /// Refutations since that start.
-    pub round: u64,
+    pub refutations: u64,
 }
 
 impl Incarnation {
     /// No boot is above this: a spoilt word must not take a name to where nobody can refute it any more.
-    pub const BOOT_MOST: u64 = 1 << 48;
+    pub const MAX_BOOT: u64 = 1 << 48;
 
     /// Whether any sound process can have said it.
-    pub fn is_sound(self) -> bool {
-        self.boot <= Self::BOOT_MOST && self.round <= Self::BOOT_MOST
+    pub fn is_plausible(self) -> bool {
+        self.boot <= Self::MAX_BOOT && self.refutations <= Self::MAX_BOOT
     }
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.boot, self.round)
+        write!(f, "{}.{}", self.boot, self.refutations)
     }
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -9,7 +9,7 @@
 //!    Memory alone never does that. From then on this process is doubled, and silent; the other, which outbid it, goes
 //!    on. That ends when the other is said to be dead or gone, or nothing of it has been heard for a while.
 
-use crate::id::{Incarnation, Life, Micros};
+use crate::id::{Incarnation, InstanceId, Micros};
 use crate::record::{Health, Record};
 use std::collections::BTreeMap;
 
@@ -21,12 +21,12 @@
 
 /// What follows from a word about oneself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnNews {
+pub enum SelfUpdate {
     /// Nothing.
-    Nothing,
+    Unchanged,
     /// The own incarnation is a new one now; others are to hear it.
     Refuted,
-    /// A new boot number is to be written to disk; until [`Identity::persisted`] nothing is said.
+    /// A new boot number is to be written to disk; until [`Identity::boot_persisted`] nothing is said.
     Persist(u64),
 }
 
@@ -42,17 +42,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Identity {
     inc: Incarnation,
-    life: Life,
+    life: InstanceId,
     /// A boot that is not on disk yet.
     pending: Option<u64>,
     leaving: bool,
-    rivals: BTreeMap<Life, Rival>,
+    rivals: BTreeMap<InstanceId, Rival>,
 }
 
 impl Identity {
     /// A process under a boot that stands in its folder.
-    pub fn new(boot: u64, life: Life) -> Self {
-        let inc = Incarnation { boot, round: 0 };
+    pub fn new(boot: u64, life: InstanceId) -> Self {
+        let inc = Incarnation { boot, refutations: 0 };
         Identity { inc, life, pending: None, leaving: false, rivals: BTreeMap::new() }
     }
 
@@ -62,18 +62,18 @@
     }
 
     /// Its life.
-    pub fn life(&self) -> Life {
+    pub fn instance(&self) -> InstanceId {
         self.life
     }
 
     /// What it says of itself.
     pub fn record(&self) -> Record {
         let health = if self.leaving { Health::Left } else { Health::Alive };
-        Record { inc: self.inc, health, life: self.life }
+        Record { incarnation: self.inc, health, instance: self.life }
     }
 
     /// It may not speak: its boot is not on disk.
-    pub fn is_mute(&self) -> bool {
+    pub fn is_muted(&self) -> bool {
         self.pending.is_some()
     }
 
@@ -88,44 +88,44 @@
     }
 
     /// Whether another process lives under its name, by what was heard in the last `span`.
-    pub fn is_doubled(&self, now: Micros, span: Micros) -> bool {
+    pub fn has_duplicate(&self, now: Micros, span: Micros) -> bool {
         let lives = |r: &Rival| r.overtakes >= OVERTAKES && now < r.last.saturating_add(span);
         self.rivals.values().any(lives)
     }
 
     /// A word about its own name has come.
-    pub fn hears(&mut self, now: Micros, word: &Record) -> OwnNews {
+    pub fn observe(&mut self, now: Micros, word: &Record) -> SelfUpdate {
         // What it is about to speak under counts already.
-        let own = self.pending.map_or(self.inc, |boot| Incarnation { boot, round: 0 });
-        if word.inc < own || !word.inc.is_sound() {
-            return OwnNews::Nothing;
+        let own = self.pending.map_or(self.inc, |boot| Incarnation { boot, refutations: 0 });
+        if word.incarnation < own || !word.incarnation.is_plausible() {
+            return SelfUpdate::Unchanged;
         }
-        if word.life == self.life && word.inc.boot == own.boot {
+        if word.instance == self.life && word.incarnation.boot == own.boot {
             let wrong = !matches!(word.health, Health::Unknown | Health::Alive) && !self.leaving;
-            if !wrong && word.inc == own {
-                return OwnNews::Nothing;
+            if !wrong && word.incarnation == own {
+                return SelfUpdate::Unchanged;
             }
-            self.inc.round = word.inc.round + 1;
-            return OwnNews::Refuted;
+            self.inc.refutations = word.incarnation.refutations + 1;
+            return SelfUpdate::Refuted;
         }
-        if word.life != self.life {
+        if word.instance != self.life {
             if matches!(word.health, Health::Dead | Health::Left) {
-                self.rivals.remove(&word.life);
+                self.rivals.remove(&word.instance);
             } else if !self.rival(now, word) {
-                return OwnNews::Nothing;
+                return SelfUpdate::Unchanged;
             }
         }
-        let boot = word.inc.boot + 1;
+        let boot = word.incarnation.boot + 1;
         self.pending = Some(boot);
-        OwnNews::Persist(boot)
+        SelfUpdate::Persist(boot)
     }
 
     /// Another life under the name. False once it is known to live: to go above it for ever would be a quarrel.
     fn rival(&mut self, now: Micros, word: &Record) -> bool {
-        let topped = word.inc.boot + 1;
-        if let Some(rival) = self.rivals.get_mut(&word.life) {
+        let topped = word.incarnation.boot + 1;
+        if let Some(rival) = self.rivals.get_mut(&word.instance) {
             rival.last = now;
-            if word.inc.boot > rival.topped {
+            if word.incarnation.boot > rival.topped {
                 rival.overtakes += 1;
             }
             rival.topped = rival.topped.max(topped);
@@ -135,20 +135,20 @@
             let oldest = self.rivals.iter().min_by_key(|(_, r)| r.last).map(|(life, _)| *life);
             oldest.and_then(|life| self.rivals.remove(&life));
         }
-        self.rivals.insert(word.life, Rival { topped, overtakes: 0, last: now });
+        self.rivals.insert(word.instance, Rival { topped, overtakes: 0, last: now });
         true
     }
 
     /// Forgets others under the name that have been silent for `span`; the next word of them counts anew.
-    pub fn forget(&mut self, now: Micros, span: Micros) {
+    pub fn expire_rivals(&mut self, now: Micros, span: Micros) {
         self.rivals.retain(|_, rival| now < rival.last.saturating_add(span));
     }
 
     /// The folder holds this boot: it may speak under it.
-    pub fn persisted(&mut self, boot: u64) {
+    pub fn boot_persisted(&mut self, boot: u64) {
         if self.pending.is_some_and(|pending| pending <= boot) {
             self.pending = None;
-            self.inc = Incarnation { boot, round: 0 };
+            self.inc = Incarnation { boot, refutations: 0 };
         }
     }
 }
@@ -158,56 +158,56 @@
     use super::*;
 
     fn word(boot: u64, round: u64, health: Health, life: u64) -> Record {
-        Record { inc: Incarnation { boot, round }, health, life: Life(life) }
+        Record { incarnation: Incarnation { boot, refutations: round }, health, instance: InstanceId(life) }
     }
 
     #[test]
     fn an_emptied_folder_ends_above_all_that_is_remembered() {
-        let mut me = Identity::new(1, Life(9));
-        assert_eq!(me.hears(0, &word(7, 3, Health::Dead, 5)), OwnNews::Persist(8));
-        assert!(me.is_mute(), "nothing is said before the boot is on disk");
-        me.persisted(8);
-        assert_eq!(me.incarnation(), Incarnation { boot: 8, round: 0 });
-        assert_eq!(me.hears(0, &word(7, 3, Health::Dead, 5)), OwnNews::Nothing);
+        let mut me = Identity::new(1, InstanceId(9));
+        assert_eq!(me.observe(0, &word(7, 3, Health::Dead, 5)), SelfUpdate::Persist(8));
+        assert!(me.is_muted(), "nothing is said before the boot is on disk");
+        me.boot_persisted(8);
+        assert_eq!(me.incarnation(), Incarnation { boot: 8, refutations: 0 });
+        assert_eq!(me.observe(0, &word(7, 3, Health::Dead, 5)), SelfUpdate::Unchanged);
     }
 
     #[test]
     fn a_process_under_the_same_name_is_told_from_old_memory() {
-        let (mut a, mut b) = (Identity::new(3, Life(1)), Identity::new(3, Life(2)));
+        let (mut a, mut b) = (Identity::new(3, InstanceId(1)), Identity::new(3, InstanceId(2)));
         let bid = |me: &mut Identity, other: &Identity| {
-            if let OwnNews::Persist(boot) = me.hears(10, &other.record()) {
-                me.persisted(boot);
+            if let SelfUpdate::Persist(boot) = me.observe(10, &other.record()) {
+                me.boot_persisted(boot);
             }
         };
         let mut rounds = 0;
-        while !a.is_doubled(10, 100) && !b.is_doubled(10, 100) {
+        while !a.has_duplicate(10, 100) && !b.has_duplicate(10, 100) {
             rounds += 1;
             assert!(rounds < 10, "never found out");
             bid(&mut a, &b);
             bid(&mut b, &a);
         }
         // One of them is silent, and stays so while it hears the other.
-        assert!(a.is_doubled(10, 100) && !b.is_doubled(10, 100));
-        assert_eq!(a.hears(90, &b.record()), OwnNews::Nothing);
-        assert!(a.is_doubled(150, 100) && !a.is_doubled(200, 100), "it ends when the other is silent");
+        assert!(a.has_duplicate(10, 100) && !b.has_duplicate(10, 100));
+        assert_eq!(a.observe(90, &b.record()), SelfUpdate::Unchanged);
+        assert!(a.has_duplicate(150, 100) && !a.has_duplicate(200, 100), "it ends when the other is silent");
         // Or is said to be dead: then the name is free.
         let dead = Record { health: Health::Dead, ..b.record() };
-        assert!(matches!(a.hears(100, &dead), OwnNews::Persist(_)));
-        assert!(!a.is_doubled(101, 100));
+        assert!(matches!(a.observe(100, &dead), SelfUpdate::Persist(_)));
+        assert!(!a.has_duplicate(101, 100));
         // The same old words, however often and in whatever order, are no second process.
-        let mut c = Identity::new(1, Life(3));
+        let mut c = Identity::new(1, InstanceId(3));
         for n in [4, 6, 5, 4, 6, 6] {
-            if let OwnNews::Persist(boot) = c.hears(10, &word(n, 0, Health::Alive, 8)) {
-                c.persisted(boot);
+            if let SelfUpdate::Persist(boot) = c.observe(10, &word(n, 0, Health::Alive, 8)) {
+                c.boot_persisted(boot);
             }
         }
-        assert!(!c.is_doubled(10, 100));
+        assert!(!c.has_duplicate(10, 100));
     }
 
     #[test]
     fn a_word_that_no_sound_process_says_takes_nobody_along() {
-        let mut me = Identity::new(1, Life(9));
-        assert_eq!(me.hears(0, &word(u64::MAX, 0, Health::Dead, 5)), OwnNews::Nothing);
+        let mut me = Identity::new(1, InstanceId(9));
+        assert_eq!(me.observe(0, &word(u64::MAX, 0, Health::Dead, 5)), SelfUpdate::Unchanged);
         assert_eq!(me.incarnation().boot, 1);
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,11 +11,12 @@
 //!
 //! ```
 //! use yarrowhill_membership::*;
-//! let seat = |name: &str| Seat { name: name.into(), zone: "a".into(), votes: None };
+//! let seat = |name: &str| MemberConfig { name: name.into(), zone: "a".into(), votes: None };
 //! let roster = Roster::new(1, vec![seat("n0")]).unwrap();
-//! let mut only = Membership::new(0, roster, "n0", 1, Life(7), Timing::of(1_000_000), 1).unwrap();
+//! let timing = Timing::from_period(1_000_000);
+//! let mut only = Membership::new(0, roster, "n0", 1, InstanceId(7), timing, 1).unwrap();
 //! let mut now = 0;
-//! while only.standing(now) != Standing::Whole {
+//! while only.state(now) != MembershipState::Complete {
 //!     now = only.next_wake();
 //!     only.tick(now);
 //! }
@@ -37,14 +38,14 @@
 mod support;
 mod view;
 
-pub use core::{Event, Membership, Output, Refused, Timing};
-pub use detector::{HELPERS, LocalHealth, Suspicion};
-pub use id::{Incarnation, Life, MemberId, Micros, ViewId};
-pub use identity::{Identity, OwnNews};
-pub use members::{Entry, Learnt, Members};
-pub use packet::{Body, Header, Packet, UPDATES_MOST, Update, Whole};
+pub use core::{Event, Membership, Output, Rejected, Timing};
+pub use detector::{INDIRECT_PROBES, LocalHealth, Suspicion};
+pub use id::{Incarnation, InstanceId, MemberId, Micros, ViewId};
+pub use identity::{Identity, SelfUpdate};
+pub use members::{MemberEntry, Members, UpdateOutcome};
+pub use packet::{Body, FullState, Header, MAX_UPDATES, Packet, Update};
 pub use record::{Health, Record};
-pub use roster::{MEMBERS_MOST, Roster, RosterError, RosterRef, Seat, VOTERS};
-pub use standing::{Evidence, Permits, Share, Standing, permits, standing};
+pub use roster::{DEFAULT_VOTERS, MAX_MEMBERS, MemberConfig, Roster, RosterError, RosterRef};
+pub use standing::{Evidence, MembershipState, Permits, Share, membership_state, permits};
 pub use support::{Lease, Support, Voter};
-pub use view::{Present, Settler, View};
+pub use view::{PresentBoots, View, ViewStabilizer};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -5,7 +5,7 @@
 use crate::packet::Update;
 use crate::record::{Health, Record};
 use crate::roster::{Roster, RosterRef};
-use crate::view::Present;
+use crate::view::PresentBoots;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A member that left the roster is remembered for so long (microseconds): old words must not bring it back.
@@ -15,15 +15,15 @@
 
 /// What is known of a member.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct MemberEntry {
     /// The word that counts.
     pub record: Record,
     /// Since when it has stood so here.
     pub since: Micros,
     /// When a packet of its own last came.
-    pub heard: Option<Micros>,
+    pub last_received: Option<Micros>,
     /// Who told the word that counts.
-    pub by: Option<MemberId>,
+    pub source: Option<MemberId>,
     /// The roster that it said it goes by.
     pub roster: Option<RosterRef>,
     suspicion: Option<Suspicion>,
@@ -31,22 +31,22 @@
 
 /// What came of a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum UpdateOutcome {
     /// It was not new.
-    Known,
+    Unchanged,
     /// It counts now.
-    New {
+    Applied {
         /// How the member stood before.
         before: Health,
     },
     /// It names nobody of the roster, or cannot be true.
-    Refused,
+    Rejected,
 }
 
 /// All members but this one.
 #[derive(Clone, Debug)]
 pub struct Members {
-    entries: BTreeMap<MemberId, Entry>,
+    entries: BTreeMap<MemberId, MemberEntry>,
     /// The last word of those that left the roster, and until when it counts.
     graves: BTreeMap<MemberId, (Record, Micros)>,
     suspects: BTreeSet<MemberId>,
@@ -63,7 +63,7 @@
     /// Nothing is known of anybody.
     pub fn new(roster: &Roster, me: MemberId, period: Micros) -> Self {
         let entries =
-            roster.members().map(|(id, _)| id).filter(|id| *id != me).map(|id| (id, Entry::default()));
+            roster.members().map(|(id, _)| id).filter(|id| *id != me).map(|id| (id, MemberEntry::default()));
         Members {
             entries: entries.collect(),
             graves: BTreeMap::new(),
@@ -76,76 +76,83 @@
     }
 
     /// What is known of a member of the roster.
-    pub fn get(&self, id: MemberId) -> Option<&Entry> {
+    pub fn get(&self, id: MemberId) -> Option<&MemberEntry> {
         self.entries.get(&id)
     }
 
     /// All.
-    pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MemberId, &MemberEntry)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
     /// Those that are held to be there.
-    pub fn there(&self) -> &[MemberId] {
+    pub fn present(&self) -> &[MemberId] {
         &self.there
     }
 
     /// How many of them are suspected.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Counts the changes of [`Members::present`].
-    pub fn changes(&self) -> u64 {
+    /// Counts the changes of [`Members::present_boots`].
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
     /// Those that are there with their boots.
-    pub fn present(&self) -> Present {
-        self.there.iter().filter_map(|id| Some((*id, self.entries.get(id)?.record.inc.boot))).collect()
+    pub fn present_boots(&self) -> PresentBoots {
+        self.there
+            .iter()
+            .filter_map(|id| Some((*id, self.entries.get(id)?.record.incarnation.boot)))
+            .collect()
     }
 
     /// Those of whom nothing is known, or that are held to be dead.
     pub fn missing(&self) -> impl Iterator<Item = MemberId> {
-        let gone = |e: &Entry| matches!(e.record.health, Health::Unknown | Health::Dead);
+        let gone = |e: &MemberEntry| matches!(e.record.health, Health::Unknown | Health::Dead);
         self.entries.iter().filter(move |(_, e)| gone(e)).map(|(id, _)| *id)
     }
 
     /// A packet of a member itself has come.
-    pub fn heard(&mut self, now: Micros, id: MemberId, roster: RosterRef) {
+    pub fn packet_received(&mut self, now: Micros, id: MemberId, roster: RosterRef) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.heard = Some(now);
+            entry.last_received = Some(now);
             entry.roster = Some(roster);
         }
     }
 
     /// A word about another member.
-    pub fn learn(&mut self, now: Micros, word: Update) -> Learnt {
+    pub fn apply(&mut self, now: Micros, word: Update) -> UpdateOutcome {
         let Update { about, record, by } = word;
-        if !record.inc.is_sound() || record.health == Health::Unknown {
-            return Learnt::Refused;
+        if !record.incarnation.is_plausible() || record.health == Health::Unknown {
+            return UpdateOutcome::Rejected;
         }
-        if self.graves.get(&about).is_some_and(|(last, until)| now < *until && record.inc <= last.inc) {
-            return Learnt::Known;
+        if self
+            .graves
+            .get(&about)
+            .is_some_and(|(last, until)| now < *until && record.incarnation <= last.incarnation)
+        {
+            return UpdateOutcome::Unchanged;
         }
-        let Some(entry) = self.entries.get_mut(&about) else { return Learnt::Refused };
+        let Some(entry) = self.entries.get_mut(&about) else { return UpdateOutcome::Rejected };
         let before = entry.record.health;
         if record == entry.record {
             // The same suspicion by somebody else is news too: its time falls with it, here and elsewhere.
             if entry.suspicion.as_mut().is_some_and(|s| s.confirm(by)) {
                 self.rumours.insert(about, (word, 0));
             }
-            return Learnt::Known;
+            return UpdateOutcome::Unchanged;
         }
         if entry.record.merge(record) == entry.record {
-            return Learnt::Known;
+            return UpdateOutcome::Unchanged;
         }
-        if before != record.health || entry.record.inc.boot != record.inc.boot {
+        if before != record.health || entry.record.incarnation.boot != record.incarnation.boot {
             entry.since = now;
             self.changes += 1;
         }
         entry.record = record;
-        entry.by = Some(by);
+        entry.source = Some(by);
         let members = self.there.len() + 1;
         entry.suspicion =
             (record.health == Health::Suspect).then(|| Suspicion::new(now, self.period, members, by));
@@ -154,20 +161,20 @@
         } else {
             self.suspects.remove(&about);
         }
-        if before.is_there() != record.health.is_there() {
+        if before.is_present() != record.health.is_present() {
             match self.there.binary_search(&about) {
                 Ok(at) => drop(self.there.remove(at)),
                 Err(at) => self.there.insert(at, about),
             }
         }
         self.rumours.insert(about, (word, 0));
-        Learnt::New { before }
+        UpdateOutcome::Applied { before }
     }
 
     /// Suspicions that have run out: words of their deaths, to be learnt.
-    pub fn run_out(&self, now: Micros, me: MemberId) -> Vec<Update> {
+    pub fn expired_suspicions(&self, now: Micros, me: MemberId) -> Vec<Update> {
         let over = |id: &&MemberId| {
-            self.entries.get(*id).and_then(|e| e.suspicion.as_ref()).is_some_and(|s| now >= s.ends())
+            self.entries.get(*id).and_then(|e| e.suspicion.as_ref()).is_some_and(|s| now >= s.deadline())
         };
         let dead = |id: &MemberId| {
             let record = Record { health: Health::Dead, ..self.entries.get(id)?.record };
@@ -177,15 +184,15 @@
     }
 
     /// When the next suspicion runs out.
-    pub fn next_end(&self) -> Option<Micros> {
-        let ends = |id| self.entries.get(id).and_then(|e| e.suspicion.as_ref()).map(Suspicion::ends);
+    pub fn next_suspicion_deadline(&self) -> Option<Micros> {
+        let ends = |id| self.entries.get(id).and_then(|e| e.suspicion.as_ref()).map(Suspicion::deadline);
         self.suspects.iter().filter_map(ends).min()
     }
 
     /// This process was stopped for so long.
-    pub fn put_off(&mut self, by: Micros) {
+    pub fn extend_suspicions(&mut self, by: Micros) {
         let suspicions = self.entries.values_mut().filter_map(|e| e.suspicion.as_mut());
-        suspicions.for_each(|s| s.put_off(by));
+        suspicions.for_each(|s| s.extend(by));
     }
 
     /// A word of oneself that others are to hear.
@@ -195,13 +202,13 @@
 
     /// Words for a packet to a member: what is known of itself first, where it may want to refute that; then those
     /// that were passed on the least.
-    pub fn words(&mut self, to: MemberId, most: usize) -> Vec<Update> {
+    pub fn updates_for(&mut self, to: MemberId, most: usize) -> Vec<Update> {
         let own =
             self.entries.get(&to).filter(|e| !matches!(e.record.health, Health::Unknown | Health::Alive));
         // One that left the roster and is back in it goes above what is remembered of it once it hears of that.
-        let unknown = |e: &&Entry| e.record.health == Health::Unknown;
+        let unknown = |e: &&MemberEntry| e.record.health == Health::Unknown;
         let grave = || self.entries.get(&to).filter(unknown).and_then(|_| self.graves.get(&to));
-        let own = own.map(|e| (e.record, e.by)).or_else(|| grave().map(|(last, _)| (*last, None)));
+        let own = own.map(|e| (e.record, e.source)).or_else(|| grave().map(|(last, _)| (*last, None)));
         let own = own.map(|(record, by)| Update { about: to, record, by: by.unwrap_or(to) });
         let mut words: Vec<Update> = own.into_iter().collect();
         if self.rumours.is_empty() {
@@ -227,26 +234,26 @@
     }
 
     /// The word that counts of a member, if anything is known of it.
-    pub fn word(&self, id: MemberId) -> Option<Update> {
+    pub fn update_about(&self, id: MemberId) -> Option<Update> {
         let entry = self.entries.get(&id).filter(|e| e.record.health != Health::Unknown)?;
-        Some(Update { about: id, record: entry.record, by: entry.by.unwrap_or(id) })
+        Some(Update { about: id, record: entry.record, by: entry.source.unwrap_or(id) })
     }
 
     /// A word about every member that anything is known of.
-    pub fn all_words(&self) -> Vec<Update> {
-        self.entries.keys().filter_map(|id| self.word(*id)).collect()
+    pub fn all_updates(&self) -> Vec<Update> {
+        self.entries.keys().filter_map(|id| self.update_about(*id)).collect()
     }
 
     /// Another roster. Those that leave are remembered for a while, so that old words about them do not count if they
     /// come back.
-    pub fn roster(&mut self, now: Micros, roster: &Roster, me: MemberId) {
+    pub fn set_roster(&mut self, now: Micros, roster: &Roster, me: MemberId) {
         self.graves.retain(|_, (_, until)| now < *until);
-        let gone: Vec<MemberId> = self.entries.keys().copied().filter(|id| !roster.has(*id)).collect();
+        let gone: Vec<MemberId> = self.entries.keys().copied().filter(|id| !roster.contains(*id)).collect();
         self.changes += 1;
         for id in gone {
             if let Some(entry) = self.entries.remove(&id)
                 && entry.record.health != Health::Unknown
-                && self.graves.len() < crate::roster::MEMBERS_MOST
+                && self.graves.len() < crate::roster::MAX_MEMBERS
             {
                 self.graves.insert(id, (entry.record, now.saturating_add(GRAVE)));
             }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,12 +1,12 @@
 //! What members say to each other. How it becomes bytes is the host's matter.
 
-use crate::id::{Incarnation, Life, MemberId, Micros, ViewId};
+use crate::id::{Incarnation, InstanceId, MemberId, Micros, ViewId};
 use crate::record::Record;
 use crate::roster::RosterRef;
 use serde::{Deserialize, Serialize};
 
 /// Words about members in one packet, at most: with 48 bytes for each at the most, a packet has less than 1,200 bytes.
-pub const UPDATES_MOST: usize = 22;
+pub const MAX_UPDATES: usize = 22;
 
 /// A word about a member, from somebody.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -25,9 +25,9 @@
     /// The member.
     pub from: MemberId,
     /// Which of its incarnations,
-    pub inc: Incarnation,
+    pub incarnation: Incarnation,
     /// and which process.
-    pub life: Life,
+    pub instance: InstanceId,
     /// The roster that it goes by.
     pub roster: RosterRef,
     /// Its view.
@@ -43,13 +43,13 @@
         seq: u64,
     },
     /// Is that one there? You may reach it where I don't.
-    PingFor {
+    PingReq {
         /// Number of the probe at who asks.
         seq: u64,
         /// Whom.
         target: MemberId,
     },
-    /// I am there; or, in answer to [`Body::PingFor`], it is.
+    /// I am there; or, in answer to [`Body::PingReq`], it is.
     Ack {
         /// The number that was told.
         seq: u64,
@@ -60,19 +60,19 @@
         seq: u64,
     },
     /// Do you support my view?
-    Ask {
+    SupportRequest {
         /// When this was asked, by the clock of who asks; comes back as it is.
         at: Micros,
     },
     /// I support this view.
-    Support {
+    SupportGrant {
         /// Which.
         view: ViewId,
         /// As it was asked.
         at: Micros,
     },
     /// Only the words that travel with it.
-    Words,
+    Gossip,
 }
 
 /// A packet.
@@ -82,13 +82,13 @@
     pub header: Header,
     /// What is said.
     pub body: Body,
-    /// Words about members, [`UPDATES_MOST`] at most.
+    /// Words about members, [`MAX_UPDATES`] at most.
     pub updates: Vec<Update>,
 }
 
 /// All that a member knows, for another one that may have missed some of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct FullState {
     /// Who speaks.
     pub header: Header,
     /// A word about each member that anything is known of.
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,6 +1,6 @@
 //! What is said of a member, and which of two words counts.
 
-use crate::id::{Incarnation, Life};
+use crate::id::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
 
 /// How a member stands, as far as anybody knows. Of one incarnation the later in this order counts.
@@ -21,7 +21,7 @@
 
 impl Health {
     /// Whether it is held to be there.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, Health::Alive | Health::Suspect)
     }
 
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// How new.
-    pub inc: Incarnation,
+    pub incarnation: Incarnation,
     /// How it stands.
     pub health: Health,
     /// Which process it is said of.
-    pub life: Life,
+    pub instance: InstanceId,
 }
 
 impl Record {
@@ -54,10 +54,11 @@
     ///
     /// ```
     /// use yarrowhill_membership::*;
-    /// let word = |boot, health| Record { inc: Incarnation { boot, round: 0 }, health, life: Life(1) };
+    /// let incarnation = |boot| Incarnation { boot, refutations: 0 };
+    /// let record = |boot, health| Record { incarnation: incarnation(boot), health, instance: InstanceId(1) };
     /// // Whatever was said of an earlier boot, a later one lives; and of one boot, death outweighs life.
-    /// assert_eq!(word(1, Health::Dead).merge(word(2, Health::Alive)), word(2, Health::Alive));
-    /// assert_eq!(word(1, Health::Dead).merge(word(1, Health::Alive)), word(1, Health::Dead));
+    /// assert_eq!(record(1, Health::Dead).merge(record(2, Health::Alive)), record(2, Health::Alive));
+    /// assert_eq!(record(1, Health::Dead).merge(record(1, Health::Alive)), record(1, Health::Dead));
     /// ```
     pub fn merge(self, other: Record) -> Record {
         self.max(other)
@@ -79,9 +80,9 @@
         ];
         // Few values, so that equal ones are met.
         (0..4u64, 0..3u64, health, 0..3u64).prop_map(|(boot, round, health, life)| Record {
-            inc: Incarnation { boot, round },
+            incarnation: Incarnation { boot, refutations: round },
             health,
-            life: Life(life),
+            instance: InstanceId(life),
         })
     }
 
@@ -92,7 +93,7 @@
             prop_assert_eq!(a.merge(b), b.merge(a));
             prop_assert_eq!(a.merge(b).merge(c), a.merge(b.merge(c)));
             prop_assert_eq!(a.merge(a), a);
-            prop_assert!(a.merge(b).inc >= a.inc.max(b.inc));
+            prop_assert!(a.merge(b).incarnation >= a.incarnation.max(b.incarnation));
         }
     }
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -6,27 +6,27 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Members of a roster at most.
-pub const MEMBERS_MOST: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Without a word in the configuration so many members vote, or all where there are no more.
-pub const VOTERS: usize = 7;
+pub const DEFAULT_VOTERS: usize = 7;
 
 /// Why a roster is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterError {
     /// Nobody, or too many.
-    #[error("{0} members: 1 to {MEMBERS_MOST} can be")]
+    #[error("{0} members: 1 to {MAX_MEMBERS} can be")]
     Size(usize),
     /// A name stands there twice, or two names share a hash.
     #[error("member {0:?} is there twice")]
-    Twice(String),
+    Duplicate(String),
     /// This process is not in it.
     #[error("{0:?} is not a member")]
-    NotMe(String),
+    NotAMember(String),
     /// It does not follow the one in force.
-    #[error("version {next} does not follow version {now}")]
+    #[error("version {next} does not follow version {current}")]
     Version {
         /// In force.
-        now: u64,
+        current: u64,
         /// Handed in.
         next: u64,
     },
@@ -34,7 +34,7 @@
     #[error(
         "{removed} voters leave and {added} come in one step: a majority of each could miss the other; go by a joint roster"
     )]
-    Apart {
+    DisjointMajorities {
         /// Voters that leave.
         removed: usize,
         /// Voters that come.
@@ -44,7 +44,7 @@
 
 /// A member as configuration tells it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct MemberConfig {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
     reference: RosterRef,
-    seats: BTreeMap<MemberId, Seat>,
+    seats: BTreeMap<MemberId, MemberConfig>,
     voters: BTreeSet<MemberId>,
     /// While it changes by a joint step: the voters of before, a majority of whom must agree as well.
     before: Option<BTreeSet<MemberId>>,
@@ -78,15 +78,15 @@
     /// # Errors
     ///
     /// Its size, or a name that stands there twice.
-    pub fn new(version: u64, list: Vec<Seat>) -> Result<Self, RosterError> {
-        if !(1..=MEMBERS_MOST).contains(&list.len()) {
+    pub fn new(version: u64, list: Vec<MemberConfig>) -> Result<Self, RosterError> {
+        if !(1..=MAX_MEMBERS).contains(&list.len()) {
             return Err(RosterError::Size(list.len()));
         }
         let mut seats = BTreeMap::new();
         for seat in list {
-            let id = MemberId::of(&seat.name);
+            let id = MemberId::from_name(&seat.name);
             if let Some(old) = seats.insert(id, seat) {
-                return Err(RosterError::Twice(old.name));
+                return Err(RosterError::Duplicate(old.name));
             }
         }
         let voters = voters(&seats);
@@ -120,17 +120,17 @@
     }
 
     /// Whether a member should exist.
-    pub fn has(&self, id: MemberId) -> bool {
+    pub fn contains(&self, id: MemberId) -> bool {
         self.seats.contains_key(&id)
     }
 
     /// All members.
-    pub fn members(&self) -> impl Iterator<Item = (MemberId, &Seat)> {
+    pub fn members(&self) -> impl Iterator<Item = (MemberId, &MemberConfig)> {
         self.seats.iter().map(|(id, seat)| (*id, seat))
     }
 
     /// The name of a member.
-    pub fn name(&self, id: MemberId) -> Option<&str> {
+    pub fn name_of(&self, id: MemberId) -> Option<&str> {
         self.seats.get(&id).map(|seat| seat.name.as_str())
     }
 
@@ -163,7 +163,7 @@
     pub fn follows(&self, now: &Roster) -> Result<(), RosterError> {
         let (old, new) = (now.reference.version, self.reference.version);
         if new != old + 1 {
-            return Err(RosterError::Version { now: old, next: new });
+            return Err(RosterError::Version { current: old, next: new });
         }
         // A joint roster asks for a majority of both; so whoever is one of its two halves meets it.
         let halves = |r: &Roster| -> Vec<BTreeSet<MemberId>> {
@@ -178,7 +178,7 @@
         }
         let removed = now.voters.difference(&self.voters).count();
         let added = self.voters.difference(&now.voters).count();
-        Err(RosterError::Apart { removed, added })
+        Err(RosterError::DisjointMajorities { removed, added })
     }
 
     /// The joint roster between this one and another: everybody of both, and a majority of the voters of each.
@@ -199,13 +199,13 @@
 
 /// Those that configuration names; else all of a small fleet; else the seven with the highest hashes, zone by zone in
 /// turn, so that no zone alone holds a majority where there are three or more.
-fn voters(seats: &BTreeMap<MemberId, Seat>) -> BTreeSet<MemberId> {
+fn voters(seats: &BTreeMap<MemberId, MemberConfig>) -> BTreeSet<MemberId> {
     let named: BTreeSet<MemberId> =
         seats.iter().filter(|(_, s)| s.votes == Some(true)).map(|(id, _)| *id).collect();
     if !named.is_empty() {
         return named;
     }
-    if seats.len() <= VOTERS {
+    if seats.len() <= DEFAULT_VOTERS {
         return seats.keys().copied().collect();
     }
     let mut zones: BTreeMap<&str, Vec<MemberId>> = BTreeMap::new();
@@ -216,9 +216,9 @@
         ids.sort_by_key(|id| xxh3_64_with_seed(&id.0.to_le_bytes(), 1));
     }
     let mut chosen = BTreeSet::new();
-    while chosen.len() < VOTERS && zones.values().any(|ids| !ids.is_empty()) {
+    while chosen.len() < DEFAULT_VOTERS && zones.values().any(|ids| !ids.is_empty()) {
         for ids in zones.values_mut() {
-            if chosen.len() < VOTERS {
+            if chosen.len() < DEFAULT_VOTERS {
                 chosen.extend(ids.pop());
             }
         }
@@ -231,7 +231,7 @@
     use super::*;
 
     fn roster(version: u64, names: &[&str]) -> Roster {
-        let seat = |n: &&str| Seat { name: (*n).to_owned(), zone: "a".to_owned(), votes: None };
+        let seat = |n: &&str| MemberConfig { name: (*n).to_owned(), zone: "a".to_owned(), votes: None };
         Roster::new(version, names.iter().map(seat).collect()).expect("sound")
     }
 
@@ -241,33 +241,37 @@
         assert_eq!(roster(2, &["a", "b", "c", "d"]).follows(&three), Ok(()));
         assert_eq!(roster(2, &["a", "b"]).follows(&three), Ok(()));
         // Two of three and two of three others of whom one stays: {a, b} and {c', d} miss each other.
-        assert!(matches!(roster(2, &["a", "d", "e"]).follows(&three), Err(RosterError::Apart { .. })));
+        assert!(matches!(
+            roster(2, &["a", "d", "e"]).follows(&three),
+            Err(RosterError::DisjointMajorities { .. })
+        ));
         assert!(matches!(roster(3, &["a", "b"]).follows(&three), Err(RosterError::Version { .. })));
         let far = roster(3, &["d", "e", "f"]);
         let joint = three.joint(&far);
         assert_eq!(joint.follows(&three), Ok(()));
         assert_eq!(far.follows(&joint), Ok(()));
-        let of = |names: &'static [&str]| move |id| names.iter().any(|n| MemberId::of(n) == id);
+        let of = |names: &'static [&str]| move |id| names.iter().any(|n| MemberId::from_name(n) == id);
         assert!(!joint.is_majority(of(&["a", "b"])), "one half alone decides nothing");
         assert!(joint.is_majority(of(&["a", "b", "d", "f"])));
     }
 
     #[test]
     fn voters_of_a_large_fleet_are_seven_and_spread_over_zones() {
-        let seat = |n: usize| Seat { name: format!("n{n}"), zone: format!("z{}", n % 3), votes: None };
+        let seat =
+            |n: usize| MemberConfig { name: format!("n{n}"), zone: format!("z{}", n % 3), votes: None };
         let roster = Roster::new(1, (0..300).map(seat).collect()).expect("sound");
         let voters: Vec<MemberId> = roster.voters().collect();
-        assert_eq!(voters.len(), VOTERS);
+        assert_eq!(voters.len(), DEFAULT_VOTERS);
         for zone in ["z0", "z1", "z2"] {
             let own = voters.iter().filter(|id| roster.seats[id].zone == zone).count();
-            assert!(own < majority(VOTERS), "{own} of zone {zone}");
+            assert!(own < majority(DEFAULT_VOTERS), "{own} of zone {zone}");
         }
     }
 
     #[test]
     fn a_name_twice_is_refused() {
-        let seat = Seat { name: "a".into(), zone: "a".into(), votes: None };
-        assert_eq!(Roster::new(1, vec![seat.clone(), seat]), Err(RosterError::Twice("a".into())));
+        let seat = MemberConfig { name: "a".into(), zone: "a".into(), votes: None };
+        assert_eq!(Roster::new(1, vec![seat.clone(), seat]), Err(RosterError::Duplicate("a".into())));
         assert_eq!(Roster::new(1, Vec::new()), Err(RosterError::Size(0)));
     }
 }
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -7,7 +7,7 @@
 /// How a process stands in its fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum MembershipState {
     /// It has just started, or was stopped, and has not heard yet what became of it meanwhile.
     #[default]
     NotYetKnown,
@@ -20,42 +20,44 @@
     /// A majority of the voters supports its view.
     Majority,
     /// The same, and nobody is missing.
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     /// It was told to go.
     Leaving,
     /// Another process lives under its name.
-    Doubled,
+    #[serde(rename = "doubled")]
+    DuplicateName,
 }
 
-impl Standing {
+impl MembershipState {
     /// All of them.
-    pub const ALL: [Standing; 8] = [
-        Standing::NotYetKnown,
-        Standing::Alone,
-        Standing::Minority,
-        Standing::Unsettled,
-        Standing::Majority,
-        Standing::Whole,
-        Standing::Leaving,
-        Standing::Doubled,
+    pub const ALL: [MembershipState; 8] = [
+        MembershipState::NotYetKnown,
+        MembershipState::Alone,
+        MembershipState::Minority,
+        MembershipState::Unsettled,
+        MembershipState::Majority,
+        MembershipState::Complete,
+        MembershipState::Leaving,
+        MembershipState::DuplicateName,
     ];
 
     /// In words.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::NotYetKnown => "not yet known",
-            Standing::Alone => "alone",
-            Standing::Minority => "minority",
-            Standing::Unsettled => "unsettled",
-            Standing::Majority => "majority",
-            Standing::Whole => "whole",
-            Standing::Leaving => "leaving",
-            Standing::Doubled => "doubled",
+            MembershipState::NotYetKnown => "not yet known",
+            MembershipState::Alone => "alone",
+            MembershipState::Minority => "minority",
+            MembershipState::Unsettled => "unsettled",
+            MembershipState::Majority => "majority",
+            MembershipState::Complete => "whole",
+            MembershipState::Leaving => "leaving",
+            MembershipState::DuplicateName => "doubled",
         }
     }
 }
 
-impl fmt::Display for Standing {
+impl fmt::Display for MembershipState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -77,9 +79,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Permits {
     /// New messages from clients.
-    pub take_on: bool,
+    #[serde(rename = "take_on")]
+    pub accept_messages: bool,
     /// Calls for what it holds.
-    pub send_on: bool,
+    #[serde(rename = "send_on")]
+    pub send_calls: bool,
     /// Its part of shared limits.
     pub share: Share,
     /// Work that one alone may do. **Exclusive**: no two processes under two views have it at once.
@@ -91,22 +95,22 @@
 }
 
 /// What a standing allows: the table.
-pub fn permits(standing: Standing) -> Permits {
+pub fn permits(standing: MembershipState) -> Permits {
     let row = |take_on, send_on, share, exclusive, ready| Permits {
-        take_on,
-        send_on,
+        accept_messages: take_on,
+        send_calls: send_on,
         share,
         hold_duty: exclusive,
         configure: exclusive,
         ready,
     };
     match standing {
-        Standing::NotYetKnown => row(true, true, Share::Roster, false, false),
-        Standing::Alone => row(true, true, Share::Roster, false, true),
-        Standing::Minority | Standing::Unsettled => row(true, true, Share::View, false, true),
-        Standing::Majority | Standing::Whole => row(true, true, Share::View, true, true),
-        Standing::Leaving => row(false, true, Share::Roster, false, false),
-        Standing::Doubled => row(false, false, Share::Nothing, false, false),
+        MembershipState::NotYetKnown => row(true, true, Share::Roster, false, false),
+        MembershipState::Alone => row(true, true, Share::Roster, false, true),
+        MembershipState::Minority | MembershipState::Unsettled => row(true, true, Share::View, false, true),
+        MembershipState::Majority | MembershipState::Complete => row(true, true, Share::View, true, true),
+        MembershipState::Leaving => row(false, true, Share::Roster, false, false),
+        MembershipState::DuplicateName => row(false, false, Share::Nothing, false, false),
     }
 }
 
@@ -118,11 +122,11 @@
     /// It goes.
     pub leaving: bool,
     /// Another lives under its name.
-    pub doubled: bool,
+    pub duplicate_name: bool,
     /// Members in its view, itself counted.
-    pub there: usize,
+    pub view_size: usize,
     /// Members in its roster.
-    pub roster: usize,
+    pub roster_size: usize,
     /// The view holds a majority of the voters.
     pub majority: bool,
     /// A majority of the voters supports the view at this moment.
@@ -130,16 +134,20 @@
 }
 
 /// The standing that follows.
-pub fn standing(e: &Evidence) -> Standing {
+pub fn membership_state(e: &Evidence) -> MembershipState {
     match e {
-        Evidence { doubled: true, .. } => Standing::Doubled,
-        Evidence { leaving: true, .. } => Standing::Leaving,
-        Evidence { known: false, .. } => Standing::NotYetKnown,
-        Evidence { majority: true, supported: true, there, roster, .. } if there >= roster => Standing::Whole,
-        Evidence { majority: true, supported: true, .. } => Standing::Majority,
-        Evidence { there: 0 | 1, roster, .. } if *roster > 1 => Standing::Alone,
-        Evidence { majority: true, .. } => Standing::Unsettled,
-        _ => Standing::Minority,
+        Evidence { duplicate_name: true, .. } => MembershipState::DuplicateName,
+        Evidence { leaving: true, .. } => MembershipState::Leaving,
+        Evidence { known: false, .. } => MembershipState::NotYetKnown,
+        Evidence { majority: true, supported: true, view_size: there, roster_size: roster, .. }
+            if there >= roster =>
+        {
+            MembershipState::Complete
+        }
+        Evidence { majority: true, supported: true, .. } => MembershipState::Majority,
+        Evidence { view_size: 0 | 1, roster_size: roster, .. } if *roster > 1 => MembershipState::Alone,
+        Evidence { majority: true, .. } => MembershipState::Unsettled,
+        _ => MembershipState::Minority,
     }
 }
 
@@ -152,7 +160,7 @@
     fn the_table_of_the_note_is_the_code() {
         let note = include_str!("../../../docs/design-membership.md");
         let yes = |b| if b { "yes" } else { "no" };
-        for standing in Standing::ALL {
+        for standing in MembershipState::ALL {
             let p = permits(standing);
             let share = match p.share {
                 Share::Nothing => "none",
@@ -162,8 +170,8 @@
             let row = format!(
                 "| {} | {} | {} | {share} | {} | {} | {} |",
                 standing.name(),
-                yes(p.take_on),
-                yes(p.send_on),
+                yes(p.accept_messages),
+                yes(p.send_calls),
                 yes(p.hold_duty),
                 yes(p.configure),
                 yes(p.ready)
@@ -181,14 +189,14 @@
                 let e = Evidence {
                     known: bit(0),
                     leaving: bit(1),
-                    doubled: bit(2),
+                    duplicate_name: bit(2),
                     majority: bit(3),
                     supported: bit(4),
-                    there,
-                    roster: 3,
+                    view_size: there,
+                    roster_size: 3,
                 };
-                let p = permits(standing(&e));
-                let may = e.known && !e.leaving && !e.doubled && e.majority && e.supported;
+                let p = permits(membership_state(&e));
+                let may = e.known && !e.leaving && !e.duplicate_name && e.majority && e.supported;
                 assert_eq!(p.hold_duty, may, "{e:?}");
                 assert!(!p.configure || p.hold_duty);
             }
--- a/crates/membership/src/support.rs
+++ b/crates/membership/src/support.rs
@@ -23,16 +23,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     /// For a holder, since it asked.
-    pub lease: Micros,
+    pub holder_duration: Micros,
     /// For a voter, since it answered.
-    pub wide: Micros,
+    pub voter_duration: Micros,
 }
 
 impl Lease {
     /// For clocks whose rates are right within `drift` (a part of 1): one may run fast by it, the other slow.
     pub fn new(lease: Micros, drift: f64) -> Self {
         let wide = (lease as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
-        Lease { lease, wide }
+        Lease { holder_duration: lease, voter_duration: wide }
     }
 }
 
@@ -46,18 +46,18 @@
 impl Voter {
     /// A voter that starts: whatever it promised before is forgotten, so it waits that out.
     pub fn new(now: Micros, lease: Lease) -> Self {
-        Voter { supports: None, promised_until: now.saturating_add(lease.wide) }
+        Voter { supports: None, promised_until: now.saturating_add(lease.voter_duration) }
     }
 
     /// Whether it supports a view from now on, and its word for it.
-    pub fn supports(&mut self, now: Micros, view: ViewId, lease: Lease) -> bool {
+    pub fn try_support(&mut self, now: Micros, view: ViewId, lease: Lease) -> bool {
         if self.supports != Some(view) {
             if now < self.promised_until {
                 return false;
             }
             self.supports = Some(view);
         }
-        self.promised_until = self.promised_until.max(now.saturating_add(lease.wide));
+        self.promised_until = self.promised_until.max(now.saturating_add(lease.voter_duration));
         true
     }
 
@@ -83,17 +83,17 @@
 
 impl Support {
     /// Another view: support for the one before is of no use to it.
-    pub fn view(&mut self, view: ViewId) {
+    pub fn set_view(&mut self, view: ViewId) {
         if self.view != view {
             *self = Support { view, until: BTreeMap::new() };
         }
     }
 
     /// A voter supports a view, in answer to what was asked at `asked`.
-    pub fn granted(&mut self, by: MemberId, view: ViewId, asked: Micros, lease: Lease) {
+    pub fn record_grant(&mut self, by: MemberId, view: ViewId, asked: Micros, lease: Lease) {
         if view == self.view {
             let until = self.until.entry(by).or_default();
-            *until = (*until).max(asked.saturating_add(lease.lease));
+            *until = (*until).max(asked.saturating_add(lease.holder_duration));
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Whether a voter's support holds at this moment.
-    pub fn holds(&self, now: Micros, by: MemberId) -> bool {
+    pub fn is_valid(&self, now: Micros, by: MemberId) -> bool {
         self.until.get(&by).is_some_and(|until| now < *until)
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -19,7 +19,7 @@
 const HOLD_MOST: u64 = 32;
 
 /// Who is there, by boot.
-pub type Present = BTreeMap<MemberId, u64>;
+pub type PresentBoots = BTreeMap<MemberId, u64>;
 
 /// A stable view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -27,12 +27,12 @@
     /// Of its roster and members.
     pub id: ViewId,
     /// Members with their boots, itself among them.
-    pub members: Present,
+    pub members: PresentBoots,
 }
 
 impl View {
     /// The view of these members under a roster.
-    pub fn new(roster: RosterRef, members: Present) -> Self {
+    pub fn new(roster: RosterRef, members: PresentBoots) -> Self {
         let mut hash = Xxh3::new();
         hash.update(&roster.hash.to_le_bytes());
         for (id, boot) in &members {
@@ -53,22 +53,22 @@
 
 /// Settles what is heard into views.
 #[derive(Clone, Debug)]
-pub struct Settler {
+pub struct ViewStabilizer {
     settle: Micros,
     settle_most: Micros,
     view: View,
-    candidate: Option<Present>,
+    candidate: Option<PresentBoots>,
     since: Micros,
     differs_since: Micros,
-    raw: Present,
+    raw: PresentBoots,
     goings: BTreeMap<MemberId, Goings>,
 }
 
-impl Settler {
+impl ViewStabilizer {
     /// One that starts with itself alone as its view.
     pub fn new(now: Micros, settle: Micros, settle_most: Micros, view: View) -> Self {
         let raw = view.members.clone();
-        Settler {
+        ViewStabilizer {
             settle,
             settle_most,
             view,
@@ -86,12 +86,12 @@
     }
 
     /// Another roster: the same members under another id, at once.
-    pub fn roster(&mut self, roster: RosterRef) {
+    pub fn set_roster(&mut self, roster: RosterRef) {
         self.view = View::new(roster, std::mem::take(&mut self.view.members));
     }
 
     /// Looks at who is there now, and how many of them are suspected. True if the view is another one.
-    pub fn observe(&mut self, now: Micros, raw: Present, suspects: usize, roster: RosterRef) -> bool {
+    pub fn observe(&mut self, now: Micros, raw: PresentBoots, suspects: usize, roster: RosterRef) -> bool {
         let span = self.settle.saturating_mul(FLAP_SPAN);
         self.goings.retain(|_, goings| now < goings.last.saturating_add(span));
         for id in self.raw.keys().filter(|id| !raw.contains_key(id)) {
@@ -101,7 +101,7 @@
         for id in raw.keys().filter(|id| !self.raw.contains_key(id)) {
             self.goings.entry(*id).and_modify(|goings| goings.back = now);
         }
-        let counted: Present =
+        let counted: PresentBoots =
             raw.iter().filter(|(id, _)| !self.is_held(now, **id)).map(|(id, boot)| (*id, *boot)).collect();
         self.raw = raw;
         if counted == self.view.members {
@@ -125,7 +125,7 @@
     }
 
     /// Whether time alone changes nothing: a look at the same members would find the same view.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.candidate.is_none() && self.goings.values().all(|goings| goings.count <= FLAPS)
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// When it is to look again, if nothing is heard meanwhile and so many are suspected.
-    pub fn next_look(&self, suspects: usize) -> Option<Micros> {
+    pub fn next_wake(&self, suspects: usize) -> Option<Micros> {
         self.candidate.as_ref().map(|_| {
             let calm = if suspects == 0 { self.since.saturating_add(self.settle) } else { Micros::MAX };
             calm.min(self.differs_since.saturating_add(self.settle_most))
@@ -149,12 +149,12 @@
 mod tests {
     use super::*;
 
-    fn present(ids: &[u64]) -> Present {
+    fn present(ids: &[u64]) -> PresentBoots {
         ids.iter().map(|id| (MemberId(*id), 1)).collect()
     }
 
-    fn settler() -> Settler {
-        Settler::new(0, 10, 60, View::new(RosterRef::default(), present(&[1])))
+    fn settler() -> ViewStabilizer {
+        ViewStabilizer::new(0, 10, 60, View::new(RosterRef::default(), present(&[1])))
     }
 
     #[test]
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -32,7 +32,7 @@
 
 impl Gate for Member {
     fn may_send(&self) -> bool {
-        self.handle.permits().send_on
+        self.handle.permits().send_calls
     }
 
     fn begin(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
@@ -52,7 +52,7 @@
     }
 
     fn may_take_on(&self) -> bool {
-        self.handle.permits().take_on
+        self.handle.permits().accept_messages
     }
 
     fn is_ready(&self) -> bool {
--- a/crates/yarrowhill/src/operate.rs
+++ b/crates/yarrowhill/src/operate.rs
@@ -269,8 +269,8 @@
     let _ = writeln!(
         text,
         "takes on {}, sends on {}, holds duties {}, applies configuration {}, ready {}; limits shared by {senders}",
-        yes(permits.take_on),
-        yes(permits.send_on),
+        yes(permits.accept_messages),
+        yes(permits.send_calls),
         yes(permits.hold_duty),
         yes(permits.configure),
         yes(permits.ready)
