--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -34,7 +34,7 @@
 
 impl Gate for Member {
     fn may_send(&self) -> bool {
-        self.handle.permits().send_on
+        self.handle.permits().send_calls
     }
 
     fn begin(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
@@ -54,7 +54,7 @@
     }
 
     fn may_take_on(&self) -> bool {
-        self.handle.permits().take_on
+        self.handle.permits().accept_messages
     }
 
     fn is_ready(&self) -> bool {
