--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,32 +1,33 @@
-//! Points of the program at which the fault rig ends the process.
+//! Fault injection points at which the fault rig kills the process.
 //!
-//! Without the feature `on`, [`crash_point`] is a constant that costs nothing. With it, `YARROWHILL_DIE` names a [`Point`]
-//! and a number: at that passing of that point the process ends as by SIGKILL, with nothing run on the way out.
+//! Without the feature `on`, [`crash_point`] is an empty constant function that costs nothing. With it, the
+//! environment variable `YARROWHILL_DIE` names a [`Point`] and a number n, as in `after-commit:3`. The process
+//! aborts the n-th time that the point is reached. No destructors or exit handlers run, as after a SIGKILL.
 //!
 //! ```
 //! use yarrowhill_faults::{Point, crash_point};
 //! assert_eq!(Point::from_name("after-commit"), Some(Point::AfterCommit));
-//! // No environment names it here.
+//! // Has no effect unless `YARROWHILL_DIE` names this point.
 //! crash_point(Point::AfterCommit);
 //! ```
 
-/// A point at which the process may end.
+/// A point in the program at which the process may be killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// The turn is decided, nothing of it is written.
+    /// A turn has been decided, and none of its records is written yet.
     BeforeCommit,
-    /// The turn is written, nobody is answered and no call has started.
+    /// The records of a turn are written; no client has been answered and no call has started.
     AfterCommit,
-    /// Clients are answered, no call has started.
+    /// Clients have been answered; no call has started.
     AfterAnswers,
     /// Calls have been handed to the transport.
     AfterCalls,
-    /// A compacted copy is written and not yet in the old file's place.
+    /// A compacted copy of the journal is written and has not yet replaced the old file.
     BeforeRename,
 }
 
 impl Point {
-    /// All of them.
+    /// All points.
     pub const ALL: [Point; 5] = [
         Point::BeforeCommit,
         Point::AfterCommit,
@@ -35,7 +36,7 @@
         Point::BeforeRename,
     ];
 
-    /// Its name in the environment.
+    /// Returns the name of the point in `YARROWHILL_DIE`.
     pub fn name(self) -> &'static str {
         match self {
             Point::BeforeCommit => "before-commit",
@@ -46,33 +47,33 @@
         }
     }
 
-    /// The one of that name.
+    /// Returns the point with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Point::ALL.into_iter().find(|point| point.name() == name)
     }
 }
 
-/// Ends the process here, if the environment says so.
+/// Aborts the process if `YARROWHILL_DIE` names this point and it has been reached the given number of times.
 #[cfg(feature = "on")]
 pub fn crash_point(point: Point) {
     use std::sync::OnceLock;
     use std::sync::atomic::{AtomicU32, Ordering};
-    static DEATH: OnceLock<Option<(Point, u32)>> = OnceLock::new();
-    static PASSED: AtomicU32 = AtomicU32::new(0);
-    let death = DEATH.get_or_init(|| {
+    static TARGET: OnceLock<Option<(Point, u32)>> = OnceLock::new();
+    static REACHED: AtomicU32 = AtomicU32::new(0);
+    let target = TARGET.get_or_init(|| {
         let text = std::env::var("YARROWHILL_DIE").ok()?;
         let (point, nth) = text.split_once(':')?;
         Some((Point::from_name(point)?, nth.parse().ok()?))
     });
-    if let Some((at, nth)) = death
-        && *at == point
-        && PASSED.fetch_add(1, Ordering::Relaxed) + 1 == *nth
+    if let Some((target_point, nth)) = target
+        && *target_point == point
+        && REACHED.fetch_add(1, Ordering::Relaxed) + 1 == *nth
     {
         std::process::abort();
     }
 }
 
-/// Does nothing.
+/// Does nothing: the feature `on` is off.
 #[cfg(not(feature = "on"))]
 #[inline(always)]
 pub const fn crash_point(_: Point) {}
--- a/crates/routes/src/diagnostic.rs
+++ b/crates/routes/src/diagnostic.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a document, and where.
+//! Diagnostics of a routing document, with their locations.
 
 use std::fmt;
 
-/// Where something stands in a document.
+/// A position in a routing document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
-    /// The file, as it was named to the reader.
+    /// File name as passed to [`crate::parse`].
     pub file: String,
-    /// Counted from 1; 0 for the file as a whole.
+    /// Line number from 1; 0 for the file as a whole.
     pub line: usize,
-    /// In characters, counted from 1; 0 for the file as a whole.
+    /// Column in characters from 1; 0 for the file as a whole.
     pub column: usize,
 }
 
@@ -23,14 +23,14 @@
     }
 }
 
-/// One fault of a document.
+/// A fault in a routing document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
-    /// Where.
+    /// Position of the fault.
     pub location: Location,
-    /// What.
+    /// Description of the fault.
     pub problem: String,
-    /// What to do about it.
+    /// Suggested correction.
     pub remedy: String,
 }
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Routing documents: which endpoints of a partner a message may go to, or that it is refused for a while.
+//! Routing documents decide which endpoints of a partner a message may be sent to, or refuse it for a while.
 //!
-//! A document is KDL, in one file or several fragments. It is read whole or refused whole, with every fault named at its
-//! place and with its remedy. What was read is checked (a rule that can never match is a fault) and compiled to an
-//! index: the first rule that matches decides. No I/O and no clock: texts and the time of day are passed in. The decision
-//! module goes on choosing the endpoint within what a rule allows.
+//! A document is written in KDL, in one file or several fragments. It is accepted or rejected as a whole; a
+//! rejected document is reported with a [`Diagnostic`] for every fault, each with its location and a remedy.
+//! A parsed document is checked (a rule that can never match is a fault) and compiled to an index; the first
+//! matching rule decides. This package does no I/O and reads no clock: texts and the time of day are passed
+//! in. The policy module still chooses the endpoint among those that a rule allows.
 //!
 //! ```
 //! use yarrowhill_routes::{Message, Router, parse};
@@ -16,7 +17,7 @@
 //!     refuse wait="30m"
 //! }
 //! "#;
-//! let routes = parse(&[("routes.kdl".into(), text.into())]).expect("it is well formed");
+//! let routes = parse(&[("routes.kdl".into(), text.into())]).expect("the document is valid");
 //! let router = Router::new(routes);
 //! let message = Message { class: "settle-order", dest: 7, minute: 23 * 60, ..Message::default() };
 //! assert_eq!(router.route(&message).map(|rule| &*rule.name), Some("night"));
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -1,103 +1,104 @@
-//! What a document says, with names resolved.
+//! The parsed routing document, with names resolved to indices.
 
 use crate::diagnostic::Location;
 use ipnet::IpNet;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A whole document.
+/// A complete routing document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
-    /// Those that messages go to.
+    /// Receivers of messages.
     pub partners: Vec<Partner>,
-    /// Sets of source addresses.
+    /// Named sets of source addresses.
     pub address_sets: Vec<AddressSet>,
-    /// The first that matches decides.
+    /// Rules in order of precedence; the first that matches decides.
     pub rules: Vec<Rule>,
 }
 
-/// A receiver with its pools of endpoints.
+/// A receiver of messages, with its pools of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partner {
-    /// Its name in the document.
+    /// Name in the document.
     pub name: String,
-    /// Its number on the wire.
+    /// Destination number on the wire.
     pub dest: u64,
-    /// Its pools.
+    /// Pools of endpoints.
     pub pools: Vec<Pool>,
 }
 
-/// Endpoints of a partner, by what the endpoint list says of them.
+/// A pool of a partner's endpoints, selected by their attributes in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name within its partner.
+    /// Name within the partner.
     pub name: String,
-    /// Only endpoints of this zone.
+    /// Zone of the endpoints; `None` for any.
     pub zone: Option<String>,
-    /// Only endpoints of this kind.
+    /// Kind of the endpoints; `None` for any.
     pub kind: Option<String>,
-    /// Lower ones go first; the next is for when none of the lower can be sent to.
+    /// Priority; a pool is used only while no pool with a lower number can be sent to.
     pub priority: u32,
-    /// Share among pools of the same priority.
+    /// Relative share among pools of the same priority.
     pub weight: u32,
 }
 
-/// Source addresses under a name.
+/// A named set of source addresses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressSet {
-    /// Its name in the document.
+    /// Name in the document.
     pub name: String,
-    /// May overlap.
+    /// Networks of the set; they may overlap.
     pub networks: Vec<IpNet>,
 }
 
-/// One rule.
+/// A routing rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Its name, told once in a document.
+    /// Name, unique in the document.
     pub name: String,
-    /// Which messages it is for.
+    /// Condition for a message to match.
     pub condition: Condition,
-    /// What becomes of them.
+    /// Action for matching messages.
     pub action: Action,
-    /// Where it stands.
+    /// Position in the document.
     pub location: Location,
 }
 
-/// A condition: all that is told must hold; of several values of one thing any.
+/// The condition of a rule. All criteria that are given must hold; of several values of one criterion any may
+/// match.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Condition {
-    /// Classes by name; empty: any.
+    /// Class names; empty for any.
     pub classes: Vec<String>,
-    /// Owners by name; empty: any.
+    /// Owner names; empty for any.
     pub owners: Vec<String>,
-    /// Partners by index; empty: any.
+    /// Indices of partners; empty for any.
     pub partners: Vec<usize>,
-    /// Headers (names in lower case) with their values, all of them.
+    /// Headers that must all be present: name in lower case, and value.
     pub headers: Vec<(String, String)>,
-    /// Least and greatest length of the body (bytes).
+    /// Minimum and maximum length of the body in bytes, both inclusive.
     pub body_bytes: Option<(u64, u64)>,
-    /// Address sets by index; empty: any.
+    /// Indices of source address sets; empty for any.
     pub sources: Vec<usize>,
-    /// Time of day.
+    /// Period of the day.
     pub hours: Option<Hours>,
 }
 
-/// A span of each day, in minutes from midnight on the clock that is passed in; it may pass midnight. The start belongs
-/// to it, the end does not.
+/// A daily period in minutes from midnight, by the time of day that is passed in. It may cross midnight. The
+/// start is inclusive, the end exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hours {
-    /// 0 to 1439.
+    /// Start, 0 to 1439.
     pub from: u16,
-    /// 0 to 1439, and another than `from`.
+    /// End, 0 to 1439, different from `from`.
     pub until: u16,
 }
 
 impl Hours {
-    /// Minutes of a day.
+    /// Number of minutes in a day.
     pub const MINUTES_PER_DAY: u16 = 24 * 60;
 
-    /// Whether a minute of the day is in it.
+    /// Returns whether the period contains a minute of the day.
     pub fn contains(self, minute: u16) -> bool {
         (minute + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY < self.len()
     }
@@ -106,64 +107,68 @@
         (self.until + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY
     }
 
-    /// Whether every minute of the other is in it.
+    /// Returns whether the period contains every minute of another one.
     pub fn covers(self, other: Hours) -> bool {
         (other.from + Self::MINUTES_PER_DAY - self.from) % Self::MINUTES_PER_DAY + other.len() <= self.len()
     }
 }
 
-/// What a rule does with a message.
+/// What a rule does with a matching message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// It may go to this pool of its partner, and to no other.
+    /// Allows only the partner's pool with this index.
     Pool(usize),
-    /// It may go to one of several pools of its partner, by weight; what is alike in `by` goes to the same one.
+    /// Allows one of several pools of the partner, chosen by weight. Messages with the same affinity value
+    /// get the same pool.
     Split {
-        /// What sticks.
+        /// Attribute whose value determines the pool.
         affinity: Affinity,
-        /// At least one with a weight above 0.
+        /// Candidate pools, at least one of which has a weight above 0.
         parts: Vec<WeightedPool>,
     },
-    /// It is refused; the client may come again after this time.
+    /// Refuses the message; the client may retry after this time.
     Refuse(Duration),
 }
 
-/// One way of a split.
+/// A candidate pool of a split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightedPool {
-    /// The pool, by index in its partner.
+    /// Index of the pool in its partner.
     pub pool: usize,
-    /// Its share.
+    /// Relative share of the messages.
     pub weight: u32,
 }
 
-/// What goes the same way in a split.
+/// The message attribute that a split keeps on one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Affinity {
-    /// Messages of one owner.
+    /// Owner of the message.
     Owner,
-    /// Messages with one idempotency key.
+    /// Idempotency key of the message.
     Key,
 }
 
 impl Action {
-    /// The pool for a message, `key` being what sticks; `None` if it is refused. Weighted rendezvous hashing: a changed
-    /// weight moves only what it must.
+    /// Returns the index of the pool for a message whose affinity value is `key`, or `None` if the message is
+    /// refused.
+    ///
+    /// A split uses weighted rendezvous hashing, so that a changed weight moves only the keys that it has to.
     pub fn select_pool(&self, key: &str) -> Option<usize> {
         match self {
             Action::Pool(pool) => Some(*pool),
             Action::Refuse(_) => None,
             Action::Split { parts, .. } => {
-                let score = |part: &WeightedPool| -unit(key, part.pool).ln() / f64::from(part.weight);
-                let ways = parts.iter().filter(|part| part.weight > 0);
-                ways.min_by(|a, b| score(a).total_cmp(&score(b))).map(|part| part.pool)
+                let score = |part: &WeightedPool| -unit_hash(key, part.pool).ln() / f64::from(part.weight);
+                let candidates = parts.iter().filter(|part| part.weight > 0);
+                candidates.min_by(|a, b| score(a).total_cmp(&score(b))).map(|part| part.pool)
             }
         }
     }
 }
 
-/// A number between 0 and 1 from a text and a number, the same everywhere and always (FNV-1a, mixed by splitmix64).
-fn unit(text: &str, number: usize) -> f64 {
+/// Hashes a text and a number to a value between 0 and 1 with FNV-1a, mixed by the splitmix64 finalizer. The
+/// result is the same on every machine and in every version.
+fn unit_hash(text: &str, number: usize) -> f64 {
     let hash = text.bytes().chain((number as u64).to_le_bytes());
     let mut x = hash.fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -171,21 +176,21 @@
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64 + f64::EPSILON
 }
 
-/// What is asked of a message.
+/// The attributes of a message that routing depends on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Message<'a> {
-    /// Its class.
+    /// Class of the message.
     pub class: &'a str,
-    /// Its owner, if it has one.
+    /// Owner of the message, if any.
     pub owner: Option<&'a str>,
-    /// The number of its destination.
+    /// Destination number.
     pub dest: u64,
-    /// Headers, names in lower case.
+    /// Headers with names in lower case, and their values.
     pub headers: &'a [(&'a str, &'a str)],
-    /// Length of its body (bytes).
+    /// Length of the body in bytes.
     pub body_bytes: u64,
-    /// Where it came from.
+    /// Source address.
     pub source: Option<IpAddr>,
-    /// Minute of the day, 0 to 1439.
+    /// Minute of the day at which the message is routed, 0 to 1439.
     pub minute: u16,
 }
--- a/crates/routes/src/prefixes.rs
+++ b/crates/routes/src/prefixes.rs
@@ -1,17 +1,17 @@
-//! Membership of an address in a set of prefixes, in steps by bit: what it costs does not grow with the set.
+//! Binary trie of IP prefixes. A lookup takes at most one step per address bit, whatever the size of the set.
 
 use ipnet::IpNet;
 use std::net::IpAddr;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Node {
-    /// 0: none; the roots are nobody's children.
+    /// Indices of the child nodes; 0 for none, since the roots are no node's children.
     children: [u32; 2],
-    /// A prefix ends here: all below is in the set.
-    ends: bool,
+    /// Whether a prefix ends here, so that all addresses below are in the set.
+    is_prefix: bool,
 }
 
-/// A set of prefixes of both families.
+/// A set of IPv4 and IPv6 prefixes.
 ///
 /// ```
 /// let set: yarrowhill_routes::PrefixSet = ["10.0.0.0/8".parse().unwrap()].into_iter().collect();
@@ -20,8 +20,8 @@
 #[derive(Clone, Debug)]
 pub struct PrefixSet(Vec<Node>);
 
-/// Bits from the highest, and which root they start from.
-fn bits(address: IpAddr) -> (usize, u128) {
+/// Returns the index of the root for the address family, and the address bits, highest first.
+fn root_and_bits(address: IpAddr) -> (usize, u128) {
     match address.to_canonical() {
         IpAddr::V4(v4) => (0, u128::from(u32::from(v4)) << 96),
         IpAddr::V6(v6) => (1, u128::from(v6)),
@@ -29,23 +29,24 @@
 }
 
 impl PrefixSet {
-    /// Whether a prefix of the set holds the address. One of the fourth version that is written in the sixth is the same.
+    /// Returns whether a prefix of the set contains the address. An IPv4-mapped IPv6 address counts as its
+    /// IPv4 address.
     pub fn contains(&self, address: IpAddr) -> bool {
-        let (mut node, mut bits) = bits(address);
+        let (mut node, mut bits) = root_and_bits(address);
         loop {
-            let here = self.0[node];
-            let next = here.children[(bits >> 127) as usize] as usize;
-            if here.ends || next == 0 {
-                return here.ends;
+            let current = self.0[node];
+            let next = current.children[(bits >> 127) as usize] as usize;
+            if current.is_prefix || next == 0 {
+                return current.is_prefix;
             }
             (node, bits) = (next, bits << 1);
         }
     }
 
-    fn insert(&mut self, net: IpNet) {
-        let (mut node, mut bits) = bits(net.network());
-        for _ in 0..net.prefix_len() {
-            if self.0[node].ends {
+    fn insert(&mut self, network: IpNet) {
+        let (mut node, mut bits) = root_and_bits(network.network());
+        for _ in 0..network.prefix_len() {
+            if self.0[node].is_prefix {
                 return;
             }
             let side = (bits >> 127) as usize;
@@ -55,14 +56,14 @@
             }
             (node, bits) = (self.0[node].children[side] as usize, bits << 1);
         }
-        self.0[node] = Node { children: [0, 0], ends: true };
+        self.0[node] = Node { children: [0, 0], is_prefix: true };
     }
 }
 
 impl FromIterator<IpNet> for PrefixSet {
-    fn from_iter<I: IntoIterator<Item = IpNet>>(nets: I) -> Self {
+    fn from_iter<I: IntoIterator<Item = IpNet>>(networks: I) -> Self {
         let mut set = PrefixSet(vec![Node::default(); 2]);
-        nets.into_iter().for_each(|net| set.insert(net));
+        networks.into_iter().for_each(|network| set.insert(network));
         set
     }
 }
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,33 +1,38 @@
-//! The compiled document: the first rule that matches, without a look at all of them.
+//! The compiled routing document: an index that finds the first matching rule without testing all rules.
 
 use crate::model::{Condition, Message, Routes, Rule};
 use crate::prefixes::PrefixSet;
 use std::collections::HashMap;
 
-/// A rule that names more combinations than this is kept under fewer things.
-const SPREAD_MOST: usize = 64;
+/// Maximum number of index entries of one rule. A rule with more combinations of class, owner and partner is
+/// indexed by fewer of these attributes.
+const MAX_ENTRIES_PER_RULE: usize = 64;
 
-/// What rules are found by: class, owner, partner; `None` for any.
+/// Index key of a rule: numbers of class, owner and partner, `None` for any.
 type Key = (Option<u32>, Option<u32>, Option<usize>);
 
-/// Routes with their index.
+/// A routing document with its lookup index.
 #[derive(Clone, Debug)]
 pub struct Router {
     routes: Routes,
-    sets: Vec<PrefixSet>,
+    address_sets: Vec<PrefixSet>,
     classes: HashMap<String, u32>,
     owners: HashMap<String, u32>,
     dests: HashMap<u64, usize>,
-    /// Numbers of rules, in their order.
+    /// Rule indices in document order, by index key.
     buckets: HashMap<Key, Vec<usize>>,
 }
 
 impl Router {
-    /// Compiles what was read.
+    /// Builds the index for a parsed document.
     pub fn new(routes: Routes) -> Self {
         let mut router = Router {
-            sets: routes.address_sets.iter().map(|set| set.networks.iter().copied().collect()).collect(),
-            dests: routes.partners.iter().enumerate().map(|(i, p)| (p.dest, i)).collect(),
+            address_sets: routes
+                .address_sets
+                .iter()
+                .map(|set| set.networks.iter().copied().collect())
+                .collect(),
+            dests: routes.partners.iter().enumerate().map(|(index, partner)| (partner.dest, index)).collect(),
             routes,
             classes: HashMap::new(),
             owners: HashMap::new(),
@@ -35,10 +40,10 @@
         };
         for (number, rule) in router.routes.rules.iter().enumerate() {
             let Condition { classes, owners, partners, .. } = &rule.condition;
-            let classes = numbered(&mut router.classes, classes);
-            let owners = numbered(&mut router.owners, owners);
-            let partners: Vec<_> = any(partners.iter().copied().map(Some).collect());
-            let fits = |n: usize| n <= SPREAD_MOST;
+            let classes = number_names(&mut router.classes, classes);
+            let owners = number_names(&mut router.owners, owners);
+            let partners: Vec<_> = or_any(partners.iter().copied().map(Some).collect());
+            let fits = |n: usize| n <= MAX_ENTRIES_PER_RULE;
             let classes = if fits(classes.len()) { classes } else { vec![None] };
             let owners = if fits(classes.len() * owners.len()) { owners } else { vec![None] };
             let partners =
@@ -54,7 +59,7 @@
         router
     }
 
-    /// What was compiled.
+    /// Returns the indexed document.
     pub fn routes(&self) -> &Routes {
         &self.routes
     }
@@ -63,7 +68,7 @@
         self.routes
     }
 
-    /// The first rule that matches.
+    /// Returns the first rule that matches a message.
     pub fn route(&self, message: &Message<'_>) -> Option<&Rule> {
         let class = self.classes.get(message.class).copied();
         let owner = message.owner.and_then(|owner| self.owners.get(owner)).copied();
@@ -72,12 +77,13 @@
         found.find(|n| self.matches(&self.routes.rules[*n].condition, message)).map(|n| &self.routes.rules[n])
     }
 
-    /// The same by a look at one rule after another: what the index is measured against.
+    /// Returns the same rule as [`Router::route`] by testing one rule after another. Reference for tests and
+    /// benchmarks of the index.
     pub fn route_by_scan(&self, message: &Message<'_>) -> Option<&Rule> {
         self.routes.rules.iter().find(|rule| self.matches(&rule.condition, message))
     }
 
-    /// Rules kept under these or under any, in their order.
+    /// Returns the indices of the rules indexed by these numbers or by "any", in document order.
     pub(crate) fn candidates(
         &self,
         class: Option<u32>,
@@ -85,57 +91,60 @@
         partner: Option<usize>,
     ) -> impl Iterator<Item = usize> {
         let mut lists: Vec<&[usize]> = Vec::with_capacity(8);
-        for class in both(class) {
-            for owner in both(owner) {
-                for partner in both(partner) {
+        for class in with_any(class) {
+            for owner in with_any(owner) {
+                for partner in with_any(partner) {
                     lists.extend(self.buckets.get(&(class, owner, partner)).map(Vec::as_slice));
                 }
             }
         }
         std::iter::from_fn(move || {
-            let least = lists.iter_mut().filter(|list| !list.is_empty()).min_by_key(|list| list[0])?;
-            let (first, rest) = least.split_first()?;
-            *least = rest;
+            let next = lists.iter_mut().filter(|list| !list.is_empty()).min_by_key(|list| list[0])?;
+            let (first, rest) = next.split_first()?;
+            *next = rest;
             Some(*first)
         })
     }
 
-    /// The numbers that rules with this condition are kept under: the first of each thing.
-    pub(crate) fn first_of(&self, when: &Condition) -> (Option<u32>, Option<u32>, Option<usize>) {
-        let class = when.classes.first().and_then(|c| self.classes.get(c)).copied();
-        let owner = when.owners.first().and_then(|o| self.owners.get(o)).copied();
-        (class, owner, when.partners.first().copied())
+    /// Returns an index key that messages matching this condition may have, from the first value of each
+    /// criterion.
+    pub(crate) fn first_key(&self, condition: &Condition) -> Key {
+        let class = condition.classes.first().and_then(|c| self.classes.get(c)).copied();
+        let owner = condition.owners.first().and_then(|o| self.owners.get(o)).copied();
+        (class, owner, condition.partners.first().copied())
     }
 
-    fn matches(&self, when: &Condition, m: &Message<'_>) -> bool {
-        let named = |names: &[String], name: Option<&str>| {
+    fn matches(&self, condition: &Condition, message: &Message<'_>) -> bool {
+        let contains = |names: &[String], name: Option<&str>| {
             names.is_empty() || name.is_some_and(|name| names.iter().any(|n| n == name))
         };
-        let dest = |partner: &usize| self.routes.partners[*partner].dest == m.dest;
-        let header = |(name, value): &(String, String)| m.headers.contains(&(name, value));
-        named(&when.classes, Some(m.class))
-            && named(&when.owners, m.owner)
-            && (when.partners.is_empty() || when.partners.iter().any(dest))
-            && when.headers.iter().all(header)
-            && when.body_bytes.is_none_or(|(least, most)| (least..=most).contains(&m.body_bytes))
-            && when.hours.is_none_or(|hours| hours.contains(m.minute))
-            && (when.sources.is_empty()
-                || m.source.is_some_and(|from| when.sources.iter().any(|set| self.sets[*set].contains(from))))
+        let dest = |partner: &usize| self.routes.partners[*partner].dest == message.dest;
+        let header = |(name, value): &(String, String)| message.headers.contains(&(name, value));
+        contains(&condition.classes, Some(message.class))
+            && contains(&condition.owners, message.owner)
+            && (condition.partners.is_empty() || condition.partners.iter().any(dest))
+            && condition.headers.iter().all(header)
+            && condition.body_bytes.is_none_or(|(min, max)| (min..=max).contains(&message.body_bytes))
+            && condition.hours.is_none_or(|hours| hours.contains(message.minute))
+            && (condition.sources.is_empty()
+                || message.source.is_some_and(|source| {
+                    condition.sources.iter().any(|set| self.address_sets[*set].contains(source))
+                }))
     }
 }
 
-fn both<T>(one: Option<T>) -> impl Iterator<Item = Option<T>> {
-    one.into_iter().map(Some).chain([None])
+fn with_any<T>(value: Option<T>) -> impl Iterator<Item = Option<T>> {
+    value.into_iter().map(Some).chain([None])
 }
 
-fn any<T>(named: Vec<Option<T>>) -> Vec<Option<T>> {
-    if named.is_empty() { vec![None] } else { named }
+fn or_any<T>(values: Vec<Option<T>>) -> Vec<Option<T>> {
+    if values.is_empty() { vec![None] } else { values }
 }
 
-fn numbered(known: &mut HashMap<String, u32>, names: &[String]) -> Vec<Option<u32>> {
+fn number_names(known: &mut HashMap<String, u32>, names: &[String]) -> Vec<Option<u32>> {
     let number = |name: &String| {
         let next = u32::try_from(known.len()).unwrap_or(u32::MAX);
         Some(*known.entry(name.clone()).or_insert(next))
     };
-    any(names.iter().map(number).collect())
+    or_any(names.iter().map(number).collect())
 }
