--- a/crates/journal/src/ends.rs
+++ b/crates/journal/src/ends.rs
@@ -1,108 +1,113 @@
-//! The ends of messages that are over, for as long as they bind: a message that is handed in again finds its answer
-//! here, and must never be taken for a new one.
+//! Table of the ends of closed messages, each kept until it expires. A message that is submitted again gets
+//! its answer from here and must never be accepted as a new one.
 //!
-//! A table made for the job. An end takes [`SLOT`] bytes, in memory as on disk: a keyed 128-bit hash of the id
-//! (ids come from outside, and none can be chosen to meet another), how the message ended, and until when that
-//! binds. Ends leave by time alone, in no order that a queue would give, so a hand goes round the table: each end
-//! that comes in moves it on by [`HAND`] slots, and what has passed is taken out where it stands. No pass over all,
-//! no second structure for the times. What is past and not yet met by the hand is at most an eighth of the table, so
-//! that with its load of three quarters, and doubling, the table has at most 3.2 slots for each end that binds.
+//! The table is a hash table with open addressing. An end takes [`SLOT_BYTES`] bytes, in memory as on disk: a
+//! keyed 128-bit hash of the message id (ids come from outside; with a secret key none can be chosen to
+//! collide with another), the kind of end, and the expiry time. Ends are removed only by expiry, and do not
+//! expire in the order in which they arrive, so a queue would not do. Instead a cursor cycles through the
+//! table: each insertion advances it by [`SWEEP_PER_INSERT`] slots and removes expired ends on the way. This
+//! needs neither a pass over the whole table nor a second structure for the times. At most one eighth of the
+//! table is expired and not yet swept. With a maximum load of three quarters, and doubling, the table has at
+//! most 3.2 slots for each unexpired end.
 
 use crate::record::End;
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
 /// Bytes of one end.
-pub(crate) const SLOT: usize = 24;
-/// Slots that the hand moves on with each end that comes in.
-const HAND: usize = 8;
-/// The smallest table.
-const LEAST: usize = 64;
+pub(crate) const SLOT_BYTES: usize = 24;
+/// Slots that the sweep cursor advances with each insertion.
+const SWEEP_PER_INSERT: usize = 8;
+/// Minimum number of slots.
+const MIN_SLOTS: usize = 64;
 
-/// The key of the hashes, drawn anew where nothing on disk names one.
-pub(crate) type Key = [u64; 2];
+/// HashKey of the id hashes. Drawn at random unless the journal file contains one.
+pub(crate) type HashKey = [u64; 2];
 
-/// The keyed hash of an id.
+/// Keyed hash of a message id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Name(u64, u64);
+pub(crate) struct IdHash(u64, u64);
 
-/// A place of the table; `until` in milliseconds with the kind of end in its two lowest bits, 0 where it is free.
+/// A slot of the table.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
-    name: (u64, u64),
-    until: u64,
+    hash: (u64, u64),
+    /// Expiry time in Unix milliseconds, shifted left by two bits, and the kind of end in the two lowest
+    /// bits; 0 if the slot is free.
+    expiry_and_kind: u64,
 }
 
 impl Slot {
     fn end(&self) -> Option<(End, u64)> {
-        let end = match self.until & 3 {
+        let end = match self.expiry_and_kind & 3 {
             1 => End::Delivered,
             2 => End::Failed,
             3 => End::Refused,
             _ => return None,
         };
-        Some((end, self.until >> 2))
+        Some((end, self.expiry_and_kind >> 2))
     }
 
-    fn past(&self, now: u64) -> bool {
+    fn is_expired(&self, now: u64) -> bool {
         self.end().is_some_and(|(_, until)| until <= now)
     }
 }
 
-/// Ends by the hash of their message's id.
+/// Table of ends by the hash of the message id.
 #[derive(Debug)]
 pub(crate) struct Ends {
-    key: Key,
-    /// A power of two of them, open addressing with linear probing.
+    key: HashKey,
+    /// Slots, a power of two in number, with open addressing and linear probing.
     slots: Vec<Slot>,
     len: usize,
-    hand: usize,
+    /// Position of the sweep cursor.
+    cursor: usize,
 }
 
 impl Ends {
-    pub(crate) fn new(key: Key) -> Self {
-        Ends { key, slots: vec![Slot::default(); LEAST], len: 0, hand: 0 }
+    pub(crate) fn new(key: HashKey) -> Self {
+        Ends { key, slots: vec![Slot::default(); MIN_SLOTS], len: 0, cursor: 0 }
     }
 
-    pub(crate) fn key(&self) -> Key {
+    pub(crate) fn key(&self) -> HashKey {
         self.key
     }
 
-    /// Ends that are held, some of which may be past.
+    /// Returns the number of ends in the table, including expired ones that were not swept yet.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    pub(crate) fn name(&self, id: &str) -> Name {
+    pub(crate) fn hash(&self, id: &str) -> IdHash {
         let mut hasher = SipHasher13::new_with_keys(self.key[0], self.key[1]);
         hasher.write(id.as_bytes());
         let hash = hasher.finish128();
-        Name(hash.h1, hash.h2)
+        IdHash(hash.h1, hash.h2)
     }
 
-    fn home(&self, name: (u64, u64)) -> usize {
-        name.0 as usize & (self.slots.len() - 1)
+    fn home(&self, hash: (u64, u64)) -> usize {
+        hash.0 as usize & (self.slots.len() - 1)
     }
 
-    /// The slot of that name, or the free one where it belongs.
-    fn find(&self, name: (u64, u64)) -> usize {
-        let (mask, mut at) = (self.slots.len() - 1, self.home(name));
-        while self.slots[at].until != 0 && self.slots[at].name != name {
+    /// Returns the index of the slot with this hash, or of the free slot where it belongs.
+    fn find(&self, hash: (u64, u64)) -> usize {
+        let (mask, mut at) = (self.slots.len() - 1, self.home(hash));
+        while self.slots[at].expiry_and_kind != 0 && self.slots[at].hash != hash {
             at = (at + 1) & mask;
         }
         at
     }
 
-    pub(crate) fn get(&self, name: Name) -> Option<(End, u64)> {
-        self.slots[self.find((name.0, name.1))].end()
+    pub(crate) fn get(&self, hash: IdHash) -> Option<(End, u64)> {
+        self.slots[self.find((hash.0, hash.1))].end()
     }
 
-    /// Remembers an end until then (Unix ms); a later one of the same message takes its place.
-    pub(crate) fn insert(&mut self, name: Name, end: End, until: u64, now: u64) {
+    /// Remembers an end until its expiry (Unix ms). A later end of the same message replaces the earlier one.
+    pub(crate) fn insert(&mut self, hash: IdHash, end: End, until: u64, now: u64) {
         if until <= now {
             return;
         }
-        self.sweep(HAND, now);
+        self.sweep(SWEEP_PER_INSERT, now);
         if (self.len + 1) * 4 > self.slots.len() * 3 {
             self.resize(self.slots.len() * 2);
         }
@@ -111,44 +116,45 @@
             End::Failed => 2,
             End::Refused => 3,
         };
-        // A time so far off that its highest bits are lost is none.
-        self.put(Slot { name: (name.0, name.1), until: until.min(u64::MAX >> 2) << 2 | kind });
+        // The expiry is limited to 62 bits, so that the shift loses none.
+        self.put(Slot { hash: (hash.0, hash.1), expiry_and_kind: until.min(u64::MAX >> 2) << 2 | kind });
     }
 
     fn put(&mut self, slot: Slot) {
-        let at = self.find(slot.name);
-        self.len += usize::from(self.slots[at].until == 0);
+        let at = self.find(slot.hash);
+        self.len += usize::from(self.slots[at].expiry_and_kind == 0);
         self.slots[at] = slot;
     }
 
-    /// Moves the hand on by so many slots and takes out what is past.
+    /// Advances the cursor by up to `slots` slots and removes expired ends.
     pub(crate) fn sweep(&mut self, slots: usize, now: u64) {
         for _ in 0..slots.min(self.slots.len()) {
-            while self.slots[self.hand].past(now) {
-                self.take_out(self.hand);
+            while self.slots[self.cursor].is_expired(now) {
+                self.remove(self.cursor);
             }
-            self.hand += 1;
-            if self.hand >= self.slots.len() {
-                self.hand = 0;
-                // A burst that has passed must not hold its memory for ever.
-                if self.len * 16 < self.slots.len() && self.slots.len() > LEAST {
+            self.cursor += 1;
+            if self.cursor >= self.slots.len() {
+                self.cursor = 0;
+                // Releases the memory of a burst whose ends have expired.
+                if self.len * 16 < self.slots.len() && self.slots.len() > MIN_SLOTS {
                     self.resize(self.slots.len() / 4);
                 }
             }
         }
     }
 
-    /// Frees a slot and closes the row behind it, so that no search ends early.
-    fn take_out(&mut self, mut free: usize) {
+    /// Frees a slot and shifts back the entries that follow in its probe sequence, so that lookups still find
+    /// them.
+    fn remove(&mut self, mut free: usize) {
         let mask = self.slots.len() - 1;
         let mut at = free;
         loop {
             at = (at + 1) & mask;
-            if self.slots[at].until == 0 {
+            if self.slots[at].expiry_and_kind == 0 {
                 break;
             }
-            // It may move up unless its own place lies between the free one and where it stands.
-            let home = self.home(self.slots[at].name);
+            // The entry may move back unless its home slot lies between the free slot and its present one.
+            let home = self.home(self.slots[at].hash);
             if (at.wrapping_sub(home) & mask) >= (at.wrapping_sub(free) & mask) {
                 self.slots[free] = self.slots[at];
                 free = at;
@@ -159,29 +165,32 @@
     }
 
     fn resize(&mut self, slots: usize) {
-        let old = std::mem::replace(&mut self.slots, vec![Slot::default(); slots.max(LEAST)]);
-        (self.len, self.hand) = (0, 0);
-        old.into_iter().filter(|slot| slot.until != 0).for_each(|slot| self.put(slot));
-    }
-
-    /// The ends that still bind, as they stand on disk: [`SLOT`] bytes each.
-    pub(crate) fn binding(&self, now: u64) -> impl Iterator<Item = [u8; SLOT]> + '_ {
-        self.slots.iter().filter(move |slot| slot.end().is_some() && !slot.past(now)).map(|slot| {
-            let mut bytes = [0; SLOT];
-            bytes[..8].copy_from_slice(&slot.name.0.to_le_bytes());
-            bytes[8..16].copy_from_slice(&slot.name.1.to_le_bytes());
-            bytes[16..].copy_from_slice(&slot.until.to_le_bytes());
+        let old = std::mem::replace(&mut self.slots, vec![Slot::default(); slots.max(MIN_SLOTS)]);
+        (self.len, self.cursor) = (0, 0);
+        old.into_iter().filter(|slot| slot.expiry_and_kind != 0).for_each(|slot| self.put(slot));
+    }
+
+    /// Returns the unexpired ends as stored on disk, [`SLOT_BYTES`] bytes each.
+    pub(crate) fn encode_unexpired(&self, now: u64) -> impl Iterator<Item = [u8; SLOT_BYTES]> + '_ {
+        self.slots.iter().filter(move |slot| slot.end().is_some() && !slot.is_expired(now)).map(|slot| {
+            let mut bytes = [0; SLOT_BYTES];
+            bytes[..8].copy_from_slice(&slot.hash.0.to_le_bytes());
+            bytes[8..16].copy_from_slice(&slot.hash.1.to_le_bytes());
+            bytes[16..].copy_from_slice(&slot.expiry_and_kind.to_le_bytes());
             bytes
         })
     }
 
-    /// Takes up what [`Ends::binding`] gave, under the same key.
-    pub(crate) fn take_up(&mut self, bytes: &[u8], now: u64) {
-        let number = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).unwrap_or_default();
-        for slot in bytes.chunks_exact(SLOT) {
-            let slot = Slot { name: (number(&slot[..8]), number(&slot[8..16])), until: number(&slot[16..]) };
+    /// Inserts ends encoded by [`Ends::encode_unexpired`] under the same key.
+    pub(crate) fn insert_encoded(&mut self, bytes: &[u8], now: u64) {
+        let read_u64 = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).unwrap_or_default();
+        for slot in bytes.chunks_exact(SLOT_BYTES) {
+            let slot = Slot {
+                hash: (read_u64(&slot[..8]), read_u64(&slot[8..16])),
+                expiry_and_kind: read_u64(&slot[16..]),
+            };
             if let Some((end, until)) = slot.end() {
-                self.insert(Name(slot.name.0, slot.name.1), end, until, now);
+                self.insert(IdHash(slot.hash.0, slot.hash.1), end, until, now);
             }
         }
     }
@@ -194,62 +203,64 @@
     use std::collections::HashMap;
 
     proptest! {
-        /// Against a plain map: whatever comes, an end is found exactly as long as it binds.
+        /// Compares the table with a plain map over random insertions: an end is found exactly until it
+        /// expires.
         #[test]
-        fn an_end_is_found_as_long_as_it_binds(
+        fn finds_an_end_until_it_expires(
             steps in proptest::collection::vec((0..400u32, 0..3u8, 0..300u64, 0..20u64), 1..1500)
         ) {
-            let (mut ends, mut plain, mut now) = (Ends::new([1, 2]), HashMap::new(), 1000);
-            for (n, kind, life, passes) in steps {
-                now += passes;
+            let (mut ends, mut expected, mut now) = (Ends::new([1, 2]), HashMap::new(), 1000);
+            for (n, kind, ttl, elapsed) in steps {
+                now += elapsed;
                 let (id, end) = (n.to_string(), [End::Delivered, End::Failed, End::Refused][kind as usize]);
-                ends.insert(ends.name(&id), end, now + life, now);
-                if life > 0 {
-                    plain.insert(id, (end, now + life));
+                ends.insert(ends.hash(&id), end, now + ttl, now);
+                if ttl > 0 {
+                    expected.insert(id, (end, now + ttl));
                 }
             }
-            let binding = plain.values().filter(|(_, until)| *until > now).count();
-            for (id, (end, until)) in &plain {
-                let found = ends.get(ends.name(id));
-                let past = found.is_none_or(|(_, until)| until <= now);
-                let right = if *until > now { found == Some((*end, *until)) } else { past };
-                prop_assert!(right, "{}: {:?}", id, found);
+            let unexpired = expected.values().filter(|(_, until)| *until > now).count();
+            for (id, (end, until)) in &expected {
+                let found = ends.get(ends.hash(id));
+                let is_expired = found.is_none_or(|(_, until)| until <= now);
+                let correct = if *until > now { found == Some((*end, *until)) } else { is_expired };
+                prop_assert!(correct, "{}: {:?}", id, found);
             }
-            prop_assert_eq!(ends.binding(now).count(), binding);
-            let mut again = Ends::new(ends.key());
-            let bytes: Vec<u8> = ends.binding(now).flatten().collect();
-            again.take_up(&bytes, now);
-            prop_assert_eq!(again.len(), binding);
+            prop_assert_eq!(ends.encode_unexpired(now).count(), unexpired);
+            let mut reloaded = Ends::new(ends.key());
+            let bytes: Vec<u8> = ends.encode_unexpired(now).flatten().collect();
+            reloaded.insert_encoded(&bytes, now);
+            prop_assert_eq!(reloaded.len(), unexpired);
         }
     }
 
-    /// Bytes an end, against the formula, at a steady rate and after it.
+    /// Checks the bound of 3.2 slots for each unexpired end at a steady rate, and that the table shrinks
+    /// afterwards.
     #[test]
-    fn the_table_stays_within_its_formula_and_shrinks_after_a_burst() {
-        let (mut ends, rate, life) = (Ends::new([3, 4]), 10, 6000);
+    fn stays_within_its_size_bound_and_shrinks_after_a_burst() {
+        let (mut ends, rate, ttl) = (Ends::new([3, 4]), 10, 6000);
         for now in 0..30_000u64 {
             (0..rate)
-                .for_each(|n| ends.insert(ends.name(&format!("{now}-{n}")), End::Delivered, now + life, now));
-            let binding = (rate * life.min(now + 1)) as usize;
+                .for_each(|n| ends.insert(ends.hash(&format!("{now}-{n}")), End::Delivered, now + ttl, now));
+            let unexpired = (rate * ttl.min(now + 1)) as usize;
             assert!(
-                ends.slots.len() <= LEAST.max(binding * 32 / 10 + LEAST),
+                ends.slots.len() <= MIN_SLOTS.max(unexpired * 32 / 10 + MIN_SLOTS),
                 "{} at {now}",
                 ends.slots.len()
             );
         }
         for now in 36_000..70_000 {
-            ends.insert(ends.name(&format!("{now}")), End::Delivered, now + 10, now);
+            ends.insert(ends.hash(&format!("{now}")), End::Delivered, now + 10, now);
         }
         assert!(ends.slots.len() <= 4096, "{} slots for 10 ends", ends.slots.len());
     }
 
-    /// Ids whose hashes begin in the same place share a row: taking some out must not hide the others.
+    /// Hashes with the same home slot share a probe sequence: removing some of them must not hide the others.
     #[test]
-    fn a_row_of_one_place_loses_nobody() {
+    fn keeps_the_other_entries_of_a_probe_sequence_after_removals() {
         let mut ends = Ends::new([5, 6]);
-        let name = |n| Name(7, n);
-        (0..40).for_each(|n| ends.insert(name(n), End::Failed, if n % 3 == 0 { 10 } else { 1000 }, 0));
-        ends.sweep(LEAST, 20);
-        assert!((0..40).all(|n| ends.get(name(n)).is_some() == (n % 3 != 0)));
+        let hash = |n| IdHash(7, n);
+        (0..40).for_each(|n| ends.insert(hash(n), End::Failed, if n % 3 == 0 { 10 } else { 1000 }, 0));
+        ends.sweep(MIN_SLOTS, 20);
+        assert!((0..40).all(|n| ends.get(hash(n)).is_some() == (n % 3 != 0)));
     }
 }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -1,4 +1,4 @@
-//! How records stand in the file, and how a damaged file is read past its damage.
+//! Framing of records in the file, and reading past damaged parts of a file.
 //!
 //! ```text
 //! file   = magic (8)  mark (4)  crc32 of both (4)  frame*
@@ -6,10 +6,11 @@
 //! payload = length of head (4)  head (JSON)  body (as it came)
 //! ```
 //!
-//! The mark is drawn anew for each file. A reader that has lost its place looks for the next whole frame with
-//! that mark; bodies come from outside, and none of them can hold a frame that would be taken for one of ours.
-//! The head has a checksum of its own, so that a frame whose payload is damaged is skipped by its length, and so
-//! that a frame cut off by the end of the file (torn: nothing of its turn was acted upon) is told from one whose
+//! The mark is a random synchronization marker, drawn for each file. A reader that has lost its position
+//! looks for the next intact frame with that mark. Bodies come from outside; since nobody outside knows the
+//! mark, none of them can hold a frame that would be read as a record. The frame head has a checksum of its
+//! own. With it, a frame whose payload is damaged can be skipped by its length, and a frame cut off by the
+//! end of the file (torn: its turn had no effect outside the process) can be distinguished from one whose
 //! length is damaged.
 
 use crate::record::{Accepted, Ends, Record};
@@ -20,39 +21,31 @@
 use std::os::unix::fs::FileExt;
 
 const MAGIC: &[u8; 8] = b"yhjrnl2\n";
-/// Length of the file's head.
-pub(crate) const FILE_HEAD: usize = 16;
-const FRAME_HEAD: usize = 16;
-/// Length and checksum, in the first version.
-const FIRST_HEAD: usize = 8;
-
-/// Tells the frames of one file from whatever else may stand in it.
+/// Length of the file head in bytes.
+pub(crate) const FILE_HEAD_BYTES: usize = 16;
+/// Length of a frame head in bytes.
+const FRAME_HEAD_BYTES: usize = 16;
+/// Length of a frame head in the first format version, which had only payload length and checksum.
+const V1_FRAME_HEAD_BYTES: usize = 8;
+
+/// Random marker that identifies the frames of one file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Mark(pub(crate) [u8; 4]);
 
-/// What stands at one place of a file.
+/// A part of a file, as found by the reader.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Piece {
-    Record {
-        record: Record,
-        at: usize,
-        size: usize,
-    },
-    /// It can't be read; what follows can, or nothing does.
-    Damaged {
-        at: usize,
-        size: usize,
-    },
-    /// The front of a frame, up to the end of the file.
-    Torn {
-        at: usize,
-        size: usize,
-    },
+pub(crate) enum Entry {
+    /// An intact record.
+    Record { record: Record, at: usize, size: usize },
+    /// Unreadable bytes, up to the next intact record or the end of the file.
+    Damaged { at: usize, size: usize },
+    /// The beginning of a frame that is cut off by the end of the file.
+    Torn { at: usize, size: usize },
 }
 
-/// The head of a new file.
-pub(crate) fn file_head(mark: Mark) -> [u8; FILE_HEAD] {
-    let mut head = [0; FILE_HEAD];
+/// Encodes the head of a file.
+pub(crate) fn encode_file_head(mark: Mark) -> [u8; FILE_HEAD_BYTES] {
+    let mut head = [0; FILE_HEAD_BYTES];
     head[..8].copy_from_slice(MAGIC);
     head[8..12].copy_from_slice(&mark.0);
     let sum = crc32fast::hash(&head[..12]);
@@ -60,20 +53,21 @@
     head
 }
 
-/// Adds one frame.
-pub(crate) fn put(mark: Mark, record: &Record, out: &mut Vec<u8>) {
+/// Appends the frame of a record to `out`.
+pub(crate) fn encode(mark: Mark, record: &Record, out: &mut Vec<u8>) {
     let start = out.len();
-    out.extend_from_slice(&[0; FRAME_HEAD + 4]);
-    // A record has no map, and writing to memory does not fail; if it did, the frame would be skipped at replay.
+    out.extend_from_slice(&[0; FRAME_HEAD_BYTES + 4]);
+    // Can't fail: a record contains no map, and the output is in memory. If it did fail, replay would skip
+    // the frame.
     let _ = serde_json::to_writer(&mut *out, record);
-    let head = (out.len() - start - FRAME_HEAD - 4) as u32;
+    let head = (out.len() - start - FRAME_HEAD_BYTES - 4) as u32;
     match record {
         Record::Accepted(Accepted { body, .. }) | Record::Ends(Ends { body, .. }) => {
             out.extend_from_slice(body)
         }
         _ => {}
     }
-    let payload = start + FRAME_HEAD;
+    let payload = start + FRAME_HEAD_BYTES;
     out[payload..payload + 4].copy_from_slice(&head.to_le_bytes());
     let (len, sum) = ((out.len() - payload) as u32, crc32fast::hash(&out[payload..]));
     out[start..start + 4].copy_from_slice(&mark.0);
@@ -83,28 +77,28 @@
     out[start + 12..payload].copy_from_slice(&sum.to_le_bytes());
 }
 
-fn number(text: &[u8], at: usize) -> Option<u32> {
-    text.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes)
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes)
 }
 
-fn payload(payload: &[u8]) -> Option<Record> {
-    let head = number(payload, 0)? as usize;
+fn decode_payload(payload: &[u8]) -> Option<Record> {
+    let head = read_u32(payload, 0)? as usize;
     let (head, body) = payload.get(4..)?.split_at_checked(head)?;
     let mut record: Record = serde_json::from_slice(head).ok()?;
     match record.body() {
-        Some(own) => *own = Bytes::copy_from_slice(body),
+        Some(target) => *target = Bytes::copy_from_slice(body),
         None if !body.is_empty() => return None,
         None => {}
     }
     Some(record)
 }
 
-/// Where a journal's text stands.
+/// The bytes of a journal file, in memory or on disk.
 pub(crate) trait Source {
-    /// Its length in bytes.
+    /// Returns the length in bytes.
     fn len(&self) -> usize;
 
-    /// `want` bytes from `at` on; fewer only at its end.
+    /// Returns `want` bytes starting at `at`, fewer only at the end.
     fn bytes(&mut self, at: usize, want: usize) -> io::Result<&[u8]>;
 }
 
@@ -119,21 +113,21 @@
     }
 }
 
-/// A file, of which never more is in memory than a chunk and one frame.
+/// Buffered access to a file that keeps no more in memory than a chunk and one frame.
 #[derive(Debug)]
 pub(crate) struct Window {
     file: File,
     len: usize,
     chunk: usize,
-    /// Where in the file the buffer begins.
-    from: usize,
+    /// File offset of the first byte in the buffer.
+    start: usize,
     buffer: Vec<u8>,
 }
 
 impl Window {
-    /// The first `len` bytes of a file, read a chunk at a time.
+    /// Creates a window on the first `len` bytes of a file, which are read in chunks.
     pub(crate) fn new(file: File, len: u64, chunk: usize) -> Self {
-        Window { file, len: len as usize, chunk: chunk.max(1), from: 0, buffer: Vec::new() }
+        Window { file, len: len as usize, chunk: chunk.max(1), start: 0, buffer: Vec::new() }
     }
 }
 
@@ -144,195 +138,208 @@
 
     fn bytes(&mut self, at: usize, want: usize) -> io::Result<&[u8]> {
         let (at, to) = (at.min(self.len), at.saturating_add(want).min(self.len));
-        let held = self.from..self.from + self.buffer.len();
-        if at < held.start || to > held.end {
-            // What is held of it stays, and what is before it goes.
-            let kept = if held.contains(&at) { self.buffer.split_off(at - held.start) } else { Vec::new() };
-            (self.from, self.buffer) = (at, kept);
-            let (had, end) = (self.buffer.len(), to.max(at + self.chunk).min(self.len));
+        let buffered = self.start..self.start + self.buffer.len();
+        if at < buffered.start || to > buffered.end {
+            // Keeps the buffered part of the requested range and discards what precedes it.
+            let kept =
+                if buffered.contains(&at) { self.buffer.split_off(at - buffered.start) } else { Vec::new() };
+            (self.start, self.buffer) = (at, kept);
+            let (kept_len, end) = (self.buffer.len(), to.max(at + self.chunk).min(self.len));
             self.buffer.resize(end - at, 0);
-            self.file.read_exact_at(&mut self.buffer[had..], (at + had) as u64)?;
+            self.file.read_exact_at(&mut self.buffer[kept_len..], (at + kept_len) as u64)?;
         }
-        Ok(&self.buffer[at - self.from..to - self.from])
+        Ok(&self.buffer[at - self.start..to - self.start])
     }
 }
 
-/// What one look at the front of a text finds.
-enum Front {
-    Whole(Record, usize),
-    /// The head is whole, the payload can't be read: its size.
-    Spoilt(usize),
+/// The result of reading a frame at one position.
+enum FrameRead {
+    /// An intact frame: its record and size.
+    Intact(Record, usize),
+    /// A frame of this size with an intact head and an unreadable payload.
+    BadPayload(usize),
+    /// The beginning of a frame, cut off by the end of the file.
     Torn,
-    Nothing,
+    /// No frame of this file.
+    NoFrame,
 }
 
-fn front(mark: Mark, text: &mut impl Source, at: usize) -> io::Result<Front> {
-    let left = text.len() - at;
-    let head = text.bytes(at, FRAME_HEAD)?;
-    if head.len() < FRAME_HEAD {
-        let known = head.len().min(4);
-        return Ok(if head[..known] == mark.0[..known] { Front::Torn } else { Front::Nothing });
+fn read_frame(mark: Mark, source: &mut impl Source, at: usize) -> io::Result<FrameRead> {
+    let remaining = source.len() - at;
+    let head = source.bytes(at, FRAME_HEAD_BYTES)?;
+    if head.len() < FRAME_HEAD_BYTES {
+        let available = head.len().min(4);
+        return Ok(if head[..available] == mark.0[..available] {
+            FrameRead::Torn
+        } else {
+            FrameRead::NoFrame
+        });
     }
-    if head[..4] != mark.0 || number(head, 12) != Some(crc32fast::hash(&head[..12])) {
-        return Ok(Front::Nothing);
+    if head[..4] != mark.0 || read_u32(head, 12) != Some(crc32fast::hash(&head[..12])) {
+        return Ok(FrameRead::NoFrame);
     }
-    let (size, sum) = (FRAME_HEAD + number(head, 4).unwrap_or(0) as usize, number(head, 8));
-    if size > left {
-        return Ok(Front::Torn);
+    let (size, sum) = (FRAME_HEAD_BYTES + read_u32(head, 4).unwrap_or(0) as usize, read_u32(head, 8));
+    if size > remaining {
+        return Ok(FrameRead::Torn);
     }
-    let bytes = &text.bytes(at, size)?[FRAME_HEAD..];
-    Ok(match payload(bytes) {
-        Some(record) if sum == Some(crc32fast::hash(bytes)) => Front::Whole(record, size),
-        _ => Front::Spoilt(size),
+    let bytes = &source.bytes(at, size)?[FRAME_HEAD_BYTES..];
+    Ok(match decode_payload(bytes) {
+        Some(record) if sum == Some(crc32fast::hash(bytes)) => FrameRead::Intact(record, size),
+        _ => FrameRead::BadPayload(size),
     })
 }
 
-/// Reads a text: the mark of its frames (none for one of the first version or without any frame), and its pieces one
-/// by one, so that never more than one record of a long file is in memory.
-pub(crate) fn read<S: Source>(mut text: S) -> io::Result<(Option<Mark>, Pieces<S>)> {
-    let head = text.bytes(0, FILE_HEAD)?;
-    let named = head.get(8..12).and_then(|m| m.try_into().ok()).map(Mark);
-    if let Some(mark) = named.filter(|mark| head == file_head(*mark)) {
-        return Ok((Some(mark), Pieces::new(Form::Marked(mark), text, FILE_HEAD)));
+/// Starts reading a file. Returns the mark of its frames (`None` for the first format version, and if it
+/// can't be determined) and an iterator over its entries, which keeps only one record of a long file in
+/// memory.
+pub(crate) fn read<S: Source>(mut source: S) -> io::Result<(Option<Mark>, Entries<S>)> {
+    let head = source.bytes(0, FILE_HEAD_BYTES)?;
+    let stored = head.get(8..12).and_then(|m| m.try_into().ok()).map(Mark);
+    if let Some(mark) = stored.filter(|mark| head == encode_file_head(*mark)) {
+        return Ok((Some(mark), Entries::new(Format::Marked(mark), source, FILE_HEAD_BYTES)));
     }
-    let mut first = Pieces::new(Form::First, text, 0);
-    if matches!(first.piece()?, Some(Piece::Record { .. })) {
-        return Ok((None, Pieces::new(Form::First, first.text, 0)));
+    let mut v1 = Entries::new(Format::V1, source, 0);
+    if matches!(v1.next_entry()?, Some(Entry::Record { .. })) {
+        return Ok((None, Entries::new(Format::V1, v1.source, 0)));
     }
-    let mut text = first.text;
-    match likeliest(&mut text)? {
-        Some(mark) => Ok((Some(mark), Pieces::new(Form::Marked(mark), text, 0))),
-        // The head of a new file may be torn as well.
-        None if text.len() < FILE_HEAD => Ok((None, Pieces::new(Form::First, text, 0))),
-        None => Ok((None, Pieces::new(Form::Unknown, text, 0))),
+    let mut source = v1.source;
+    match guess_mark(&mut source)? {
+        Some(mark) => Ok((Some(mark), Entries::new(Format::Marked(mark), source, 0))),
+        // A new file whose head is torn. Read as the first version, it is a torn tail.
+        None if source.len() < FILE_HEAD_BYTES => Ok((None, Entries::new(Format::V1, source, 0))),
+        None => Ok((None, Entries::new(Format::Unknown, source, 0))),
     }
 }
 
 #[derive(Clone, Copy)]
-enum Form {
+enum Format {
+    /// Frames with this mark.
     Marked(Mark),
-    /// The first version.
-    First,
-    /// Nothing in it can be read.
+    /// The first format version.
+    V1,
+    /// No part of the file can be read.
     Unknown,
 }
 
-/// The pieces of a text, in their order; every byte behind the file's head belongs to one.
-pub(crate) struct Pieces<S> {
-    form: Form,
-    text: S,
+/// The entries of a file in order. Every byte after the file head belongs to one of them.
+pub(crate) struct Entries<S> {
+    format: Format,
+    source: S,
     at: usize,
-    /// Found behind a stretch of damage, which is told first.
-    held: Option<Piece>,
+    /// Record found after damaged bytes, which are returned first.
+    next: Option<Entry>,
 }
 
-impl<S: Source> Pieces<S> {
-    fn new(form: Form, text: S, at: usize) -> Self {
-        Pieces { form, text, at, held: None }
+impl<S: Source> Entries<S> {
+    fn new(format: Format, source: S, at: usize) -> Self {
+        Entries { format, source, at, next: None }
     }
 
-    /// The next piece, or nothing at the end.
+    /// Returns the next entry, or `None` at the end.
     ///
     /// # Errors
     ///
-    /// The text can't be had.
-    pub(crate) fn piece(&mut self) -> io::Result<Option<Piece>> {
-        if let Some(held) = self.held.take() {
-            return Ok(Some(held));
+    /// The source can't be read.
+    pub(crate) fn next_entry(&mut self) -> io::Result<Option<Entry>> {
+        if let Some(next) = self.next.take() {
+            return Ok(Some(next));
         }
-        if self.at >= self.text.len() {
+        if self.at >= self.source.len() {
             return Ok(None);
         }
-        match self.form {
-            Form::Marked(mark) => self.marked(mark),
-            Form::First => self.first().map(Some),
-            Form::Unknown => {
-                let (at, size) = self.rest();
-                Ok(Some(Piece::Damaged { at, size }))
+        match self.format {
+            Format::Marked(mark) => self.next_marked(mark),
+            Format::V1 => self.next_v1().map(Some),
+            Format::Unknown => {
+                let (at, size) = self.take_rest();
+                Ok(Some(Entry::Damaged { at, size }))
             }
         }
     }
 
-    fn rest(&mut self) -> (usize, usize) {
-        let at = std::mem::replace(&mut self.at, self.text.len());
-        (at, self.text.len() - at)
+    /// Advances to the end and returns the position and size of the bytes skipped.
+    fn take_rest(&mut self) -> (usize, usize) {
+        let at = std::mem::replace(&mut self.at, self.source.len());
+        (at, self.source.len() - at)
     }
 
-    fn marked(&mut self, mark: Mark) -> io::Result<Option<Piece>> {
+    fn next_marked(&mut self, mark: Mark) -> io::Result<Option<Entry>> {
         let from = self.at;
-        while self.at < self.text.len() {
+        while self.at < self.source.len() {
             let at = self.at;
-            match front(mark, &mut self.text, at)? {
-                Front::Whole(record, size) => {
+            match read_frame(mark, &mut self.source, at)? {
+                FrameRead::Intact(record, size) => {
                     self.at = at + size;
-                    let piece = Piece::Record { record, at, size };
+                    let entry = Entry::Record { record, at, size };
                     if at == from {
-                        return Ok(Some(piece));
+                        return Ok(Some(entry));
                     }
-                    self.held = Some(piece);
-                    return Ok(Some(Piece::Damaged { at: from, size: at - from }));
+                    self.next = Some(entry);
+                    return Ok(Some(Entry::Damaged { at: from, size: at - from }));
                 }
-                Front::Torn if at == from => {
-                    let (at, size) = self.rest();
-                    return Ok(Some(Piece::Torn { at, size }));
+                FrameRead::Torn if at == from => {
+                    let (at, size) = self.take_rest();
+                    return Ok(Some(Entry::Torn { at, size }));
                 }
-                Front::Spoilt(size) => self.at = at + size,
-                Front::Nothing | Front::Torn => self.at = next_mark(mark, &mut self.text, at + 1)?,
+                FrameRead::BadPayload(size) => self.at = at + size,
+                FrameRead::NoFrame | FrameRead::Torn => self.at = find_mark(mark, &mut self.source, at + 1)?,
             }
         }
-        Ok((from < self.at).then_some(Piece::Damaged { at: from, size: self.at - from }))
+        Ok((from < self.at).then_some(Entry::Damaged { at: from, size: self.at - from }))
     }
 
-    /// Length, checksum, payload; what is behind the first that is not whole is lost.
-    fn first(&mut self) -> io::Result<Piece> {
+    /// Reads a frame of the first version: length, checksum, payload. Everything from the first incomplete
+    /// frame on is lost.
+    fn next_v1(&mut self) -> io::Result<Entry> {
         let at = self.at;
-        let head = self.text.bytes(at, FIRST_HEAD)?;
-        if let Some((len, sum)) = number(head, 0).zip(number(head, 4)) {
-            let size = FIRST_HEAD.saturating_add(len as usize);
-            let bytes = self.text.bytes(at, size)?;
+        let head = self.source.bytes(at, V1_FRAME_HEAD_BYTES)?;
+        if let Some((len, sum)) = read_u32(head, 0).zip(read_u32(head, 4)) {
+            let size = V1_FRAME_HEAD_BYTES.saturating_add(len as usize);
+            let bytes = self.source.bytes(at, size)?;
             if bytes.len() == size
-                && crc32fast::hash(&bytes[FIRST_HEAD..]) == sum
-                && let Some(record) = payload(&bytes[FIRST_HEAD..])
+                && crc32fast::hash(&bytes[V1_FRAME_HEAD_BYTES..]) == sum
+                && let Some(record) = decode_payload(&bytes[V1_FRAME_HEAD_BYTES..])
             {
                 self.at += size;
-                return Ok(Piece::Record { record, at, size });
+                return Ok(Entry::Record { record, at, size });
             }
         }
-        let (at, size) = self.rest();
-        Ok(Piece::Torn { at, size })
+        let (at, size) = self.take_rest();
+        Ok(Entry::Torn { at, size })
     }
 }
 
-fn next_mark(mark: Mark, text: &mut impl Source, mut from: usize) -> io::Result<usize> {
-    const STEP: usize = 4096;
-    while from < text.len() {
-        let bytes = text.bytes(from, STEP)?;
+fn find_mark(mark: Mark, source: &mut impl Source, mut from: usize) -> io::Result<usize> {
+    const STEP_BYTES: usize = 4096;
+    while from < source.len() {
+        let bytes = source.bytes(from, STEP_BYTES)?;
         if let Some(n) = bytes.windows(4).position(|w| w == mark.0) {
             return Ok(from + n);
         }
-        // A mark may begin in the last three bytes.
+        // The mark may begin in the last three bytes.
         from += bytes.len().saturating_sub(3).max(1);
     }
-    Ok(text.len())
+    Ok(source.len())
 }
 
-/// With the file's head lost, the mark whose frames cover the most: a body that holds frames of its own is
-/// always shorter than the frame around it. Under half of the file is no proof.
-fn likeliest(text: &mut impl Source) -> io::Result<Option<Mark>> {
+/// Determines the mark of a file whose head is lost: the one whose frames cover the largest part of the file.
+/// A body that contains frames of its own is always shorter than the frame around it. Returns `None` if no
+/// mark covers half of the file, since that would not be conclusive.
+fn guess_mark(source: &mut impl Source) -> io::Result<Option<Mark>> {
     let mut covered: HashMap<[u8; 4], usize> = HashMap::new();
     let mut at = 0;
-    while at + FRAME_HEAD <= text.len() {
-        let Ok(mark) = <[u8; 4]>::try_from(text.bytes(at, 4)?) else { break };
-        match front(Mark(mark), text, at)? {
-            Front::Whole(_, size) => {
+    while at + FRAME_HEAD_BYTES <= source.len() {
+        let Ok(mark) = <[u8; 4]>::try_from(source.bytes(at, 4)?) else { break };
+        match read_frame(Mark(mark), source, at)? {
+            FrameRead::Intact(_, size) => {
                 *covered.entry(mark).or_default() += size;
                 at += size;
             }
             _ => at += 1,
         }
     }
-    let most = covered.into_iter().max_by_key(|(mark, size)| (*size, *mark));
-    Ok(most.filter(|(_, size)| size * 2 >= text.len()).map(|(mark, _)| Mark(mark)))
+    let best = covered.into_iter().max_by_key(|(mark, size)| (*size, *mark));
+    Ok(best.filter(|(_, size)| size * 2 >= source.len()).map(|(mark, _)| Mark(mark)))
 }
 
 #[cfg(test)]
@@ -376,146 +383,147 @@
         ]
     }
 
-    fn text(records: &[Record]) -> (Vec<u8>, Vec<usize>) {
-        let mut text = file_head(MARK).to_vec();
-        let mut ends = vec![text.len()];
-        for r in records {
-            put(MARK, r, &mut text);
-            ends.push(text.len());
+    fn encode_file(records: &[Record]) -> (Vec<u8>, Vec<usize>) {
+        let mut bytes = encode_file_head(MARK).to_vec();
+        let mut ends = vec![bytes.len()];
+        for record in records {
+            encode(MARK, record, &mut bytes);
+            ends.push(bytes.len());
         }
-        (text, ends)
+        (bytes, ends)
     }
 
-    pub(crate) fn all(text: impl Source) -> (Option<Mark>, Vec<Piece>) {
-        let (mark, mut pieces) = read(text).expect("it can be had");
-        let pieces = std::iter::from_fn(move || pieces.piece().expect("it can be had"));
-        (mark, pieces.collect())
+    pub(crate) fn read_all(source: impl Source) -> (Option<Mark>, Vec<Entry>) {
+        let (mark, mut entries) = read(source).expect("the source can be read");
+        let entries = std::iter::from_fn(move || entries.next_entry().expect("the source can be read"));
+        (mark, entries.collect())
     }
 
-    fn records(pieces: &[Piece]) -> Vec<Record> {
-        let record = |p: &Piece| match p {
-            Piece::Record { record, .. } => Some(record.clone()),
+    fn records(entries: &[Entry]) -> Vec<Record> {
+        let record = |entry: &Entry| match entry {
+            Entry::Record { record, .. } => Some(record.clone()),
             _ => None,
         };
-        pieces.iter().filter_map(record).collect()
+        entries.iter().filter_map(record).collect()
     }
 
     proptest! {
-        /// Cut anywhere, the whole front is read and the rest is torn, not damaged.
+        /// A file cut at any byte: the complete frames before the cut are read, and the rest is torn, not
+        /// damaged.
         #[test]
-        fn a_cut_text_gives_its_whole_front(
+        fn reads_all_complete_frames_of_a_truncated_file(
             list in proptest::collection::vec(record(), 0..12), cut in any::<prop::sample::Index>()
         ) {
-            let (mut text, ends) = text(&list);
-            let at = cut.index(text.len() + 1);
-            text.truncate(at);
-            let whole = ends.iter().filter(|end| **end <= at).count().saturating_sub(1);
-            let (_, pieces) = all(&text[..]);
-            prop_assert_eq!(records(&pieces), &list[..whole]);
-            prop_assert!(!pieces.iter().any(|p| matches!(p, Piece::Damaged { .. })), "{:?}", pieces);
+            let (mut bytes, ends) = encode_file(&list);
+            let at = cut.index(bytes.len() + 1);
+            bytes.truncate(at);
+            let complete = ends.iter().filter(|end| **end <= at).count().saturating_sub(1);
+            let (_, entries) = read_all(&bytes[..]);
+            prop_assert_eq!(records(&entries), &list[..complete]);
+            prop_assert!(!entries.iter().any(|p| matches!(p, Entry::Damaged { .. })), "{:?}", entries);
         }
 
-        /// A damaged byte costs the one frame that it stands in, wherever that is, and is told of.
+        /// A damaged byte loses only the frame that contains it, and is reported as damage.
         #[test]
-        fn a_damaged_byte_costs_one_frame(
+        fn a_damaged_byte_loses_only_its_frame(
             list in proptest::collection::vec(record(), 1..12), at in any::<prop::sample::Index>(), flip in 1..=255u8
         ) {
-            let (mut text, ends) = text(&list);
-            let at = at.index(text.len());
-            text[at] ^= flip;
-            let (mark, pieces) = all(&text[..]);
+            let (mut bytes, ends) = encode_file(&list);
+            let at = at.index(bytes.len());
+            bytes[at] ^= flip;
+            let (mark, entries) = read_all(&bytes[..]);
             let hit = ends.iter().filter(|end| **end <= at).count();
             let kept: Vec<Record> = list.iter().enumerate().filter(|(n, _)| hit != n + 1).map(|(_, r)| r.clone()).collect();
-            prop_assert_eq!(records(&pieces), kept.clone());
-            // Without a frame that is whole nothing tells the mark.
+            prop_assert_eq!(records(&entries), kept.clone());
+            // The mark is unknown if neither the file head nor any frame is intact.
             prop_assert_eq!(mark, (!kept.is_empty() || hit > 0).then_some(MARK));
-            let told = pieces.iter().any(|p| matches!(p, Piece::Damaged { at: from, size } if (*from..from + size).contains(&at)));
-            prop_assert!(told, "{} {:?}", at, pieces);
+            let reported = entries.iter().any(|p| matches!(p, Entry::Damaged { at: from, size } if (*from..from + size).contains(&at)));
+            prop_assert!(reported, "{} {:?}", at, entries);
         }
 
-        /// Bytes put in or taken out cost what they touch.
+        /// Bytes inserted into or removed from one frame lose only that frame.
         #[test]
-        fn a_hole_or_noise_in_the_midst_hides_nothing_behind_it(
+        fn inserted_or_missing_bytes_lose_only_their_frame(
             list in proptest::collection::vec(record(), 3..12), noise in proptest::collection::vec(any::<u8>(), 0..40)
         ) {
-            let (text, ends) = text(&list);
+            let (bytes, ends) = encode_file(&list);
             let (from, to) = (ends[1] + 3, ends[2] - 3);
-            let damaged: Vec<u8> = [&text[..from], &noise, &text[to..]].concat();
-            let (_, pieces) = all(&damaged[..]);
+            let damaged: Vec<u8> = [&bytes[..from], &noise, &bytes[to..]].concat();
+            let (_, entries) = read_all(&damaged[..]);
             let kept: Vec<Record> = [&list[..1], &list[2..]].concat();
-            prop_assert_eq!(records(&pieces), kept);
+            prop_assert_eq!(records(&entries), kept);
         }
 
-        /// A body that holds whole frames of this or another file is never read as records.
+        /// Frames inside a body, whether of this file or another one, are never read as records.
         #[test]
-        fn a_body_brings_no_records(inner in proptest::collection::vec(record(), 1..4), hit in any::<bool>()) {
-            let (mut forged, _) = text(&inner);
+        fn frames_in_a_body_are_not_read_as_records(inner in proptest::collection::vec(record(), 1..4), hit in any::<bool>()) {
+            let (mut forged, _) = encode_file(&inner);
             if !hit { forged[8] ^= 1; }
             let other = Mark(*b"othr");
-            let mut own = file_head(other).to_vec();
-            put(other, &accepted("outer", forged), &mut own);
-            put(other, &Record::Gap, &mut own);
+            let mut own = encode_file_head(other).to_vec();
+            encode(other, &accepted("outer", forged), &mut own);
+            encode(other, &Record::Gap, &mut own);
             let head = own.len() - 1;
-            // Even where the frame around it is damaged, or the file's head.
-            for at in [0, FILE_HEAD + 1, FILE_HEAD + FRAME_HEAD + 3, head] {
+            // Also if the frame around the body or the file head is damaged.
+            for at in [0, FILE_HEAD_BYTES + 1, FILE_HEAD_BYTES + FRAME_HEAD_BYTES + 3, head] {
                 let mut damaged = own.clone();
                 damaged[at] ^= 0x55;
-                let got = records(&all(&damaged[..]).1);
+                let got = records(&read_all(&damaged[..]).1);
                 prop_assert!(got.iter().all(|r| matches!(r, Record::Gap) || r.id() == Some("outer")), "{} {:?}", at, got);
             }
         }
 
-        /// Through a window of any size a file reads as it does from memory, and no more of it is held than a chunk
-        /// and the longest frame.
+        /// A file reads the same through a window of any size as from memory, and the window buffers no more
+        /// than a chunk and the longest frame.
         #[test]
-        fn a_window_reads_what_memory_reads(
+        fn a_window_reads_the_same_as_memory(
             list in proptest::collection::vec(record(), 0..12), chunk in 1..200usize,
             hits in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..3)
         ) {
-            let (mut text, ends) = text(&list);
+            let (mut bytes, ends) = encode_file(&list);
             for (at, byte) in hits {
-                let at = at.index(text.len());
-                text[at] ^= byte;
+                let at = at.index(bytes.len());
+                bytes[at] ^= byte;
             }
-            let mut file = tempfile::tempfile().expect("a file");
-            std::io::Write::write_all(&mut file, &text).expect("it is writable");
-            let window = || Window::new(file.try_clone().expect("a descriptor"), text.len() as u64, chunk);
-            prop_assert_eq!(all(window()), all(&text[..]));
+            let mut file = tempfile::tempfile().expect("a temporary file");
+            std::io::Write::write_all(&mut file, &bytes).expect("the file is writable");
+            let window = || Window::new(file.try_clone().expect("a descriptor"), bytes.len() as u64, chunk);
+            prop_assert_eq!(read_all(window()), read_all(&bytes[..]));
             let longest = ends.windows(2).map(|w| w[1] - w[0]).max().unwrap_or(0);
-            let (_, mut pieces) = read(window()).expect("it can be had");
-            while pieces.piece().expect("it can be had").is_some() {
-                let damage = 2 * text.len() * usize::from(all(&text[..]).1.iter().any(|p| !matches!(p, Piece::Record { .. })));
-                let most = chunk.max(longest).max(FILE_HEAD) + damage;
-                prop_assert!(pieces.text.buffer.len() <= most, "{} held", pieces.text.buffer.len());
+            let (_, mut entries) = read(window()).expect("the file can be read");
+            while entries.next_entry().expect("the file can be read").is_some() {
+                let damage = 2 * bytes.len() * usize::from(read_all(&bytes[..]).1.iter().any(|p| !matches!(p, Entry::Record { .. })));
+                let max = chunk.max(longest).max(FILE_HEAD_BYTES) + damage;
+                prop_assert!(entries.source.buffer.len() <= max, "{} bytes buffered", entries.source.buffer.len());
             }
         }
 
-        /// Random bytes are never fatal, and every byte is accounted for.
+        /// Random bytes never cause a failure, and every byte belongs to an entry.
         #[test]
-        fn any_bytes_can_be_read(text in proptest::collection::vec(any::<u8>(), 0..300), head in any::<bool>()) {
-            let text = if head { [&file_head(MARK)[..], &text].concat() } else { text };
-            let (_, pieces) = all(&text[..]);
-            let sum: usize = pieces.iter().map(|p| match p {
-                Piece::Record { size, .. } | Piece::Damaged { size, .. } | Piece::Torn { size, .. } => *size,
+        fn accounts_for_every_byte_of_any_input(bytes in proptest::collection::vec(any::<u8>(), 0..300), head in any::<bool>()) {
+            let bytes = if head { [&encode_file_head(MARK)[..], &bytes].concat() } else { bytes };
+            let (_, entries) = read_all(&bytes[..]);
+            let sum: usize = entries.iter().map(|p| match p {
+                Entry::Record { size, .. } | Entry::Damaged { size, .. } | Entry::Torn { size, .. } => *size,
             }).sum();
-            prop_assert_eq!(sum, text.len() - if head { FILE_HEAD } else { 0 });
+            prop_assert_eq!(sum, bytes.len() - if head { FILE_HEAD_BYTES } else { 0 });
         }
     }
 
     #[test]
-    fn a_file_of_the_first_version_is_read() {
+    fn reads_a_file_of_the_first_version() {
         let mut old = Vec::new();
         for record in [accepted("a", vec![1, 2]), Record::Closed("a".into(), End::Delivered, NOW)] {
             let mut frame = Vec::new();
-            put(MARK, &record, &mut frame);
-            let payload = &frame[FRAME_HEAD..];
+            encode(MARK, &record, &mut frame);
+            let payload = &frame[FRAME_HEAD_BYTES..];
             old.extend_from_slice(&(payload.len() as u32).to_le_bytes());
             old.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
             old.extend_from_slice(payload);
         }
         old.extend_from_slice(&[9, 0, 0]);
-        let (mark, pieces) = all(&old[..]);
-        assert_eq!((mark, records(&pieces).len()), (None, 2));
-        assert!(matches!(pieces.last(), Some(Piece::Torn { size: 3, .. })));
+        let (mark, entries) = read_all(&old[..]);
+        assert_eq!((mark, records(&entries).len()), (None, 2));
+        assert!(matches!(entries.last(), Some(Entry::Torn { size: 3, .. })));
     }
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,15 +1,17 @@
-//! The journal: what the forwarder has taken on, in the folder that outlasts its process.
+//! The journal: a write-ahead log of the messages that the forwarder has accepted, in a folder that outlives
+//! its process.
 //!
-//! One append-only file of frames. Each turn of the engine is one write, made before anything of that turn is
-//! answered or sent. What was written outlasts the process without a sync ([`Durability::Process`]); an
-//! installation that must outlast its machine's power asks for [`Durability::Disk`].
+//! The log is one append-only file of frames. Each turn of the engine is one write, made before any answer or
+//! call of that turn goes out. Written records survive the end of the process without a sync
+//! ([`Durability::Process`]); an installation whose records must survive a power failure uses
+//! [`Durability::Disk`].
 //!
-//! - `record`: what stands in it
-//! - `frame`: how a record stands in the file, and how a damaged file is read past its damage
-//! - `ends`: the ends of messages that are over, as long as they bind
-//! - `replay`: the messages put together again from their records
-//! - `store`: the file itself: appending, compacting, room
-//! - `segments`: one journal for each shard, and from one number of shards to another
+//! - `record`: the types of records
+//! - `frame`: framing of records in the file, and reading past damaged parts of it
+//! - `ends`: table of the ends of closed messages, until they expire
+//! - `replay`: reconstruction of the open messages from their records
+//! - `store`: the log file: appending, compaction, space accounting, recovery
+//! - `segments`: one journal per shard, and migration to another number of shards
 //!
 //! ```
 //! use yarrowhill_journal::{Accepted, Durability, Journal, Options, Record};
@@ -48,21 +50,21 @@
 pub use segments::{has_sharded_layout, prepare_segments};
 pub use store::{Damage, Durability, Journal, JournalError, Options, Recovered};
 
-/// Reads any bytes as a journal's text, as [`Journal::open`] does, and gives the number of records in it and of
-/// bytes that can't be read. For fuzzing.
+/// Reads bytes as a journal file, as [`Journal::open`] does, and returns the number of records and the number
+/// of unreadable bytes. Used for fuzzing.
 ///
 /// ```
 /// assert_eq!(yarrowhill_journal::scan_bytes(b"no journal"), (0, 10));
 /// ```
-pub fn scan_bytes(text: &[u8]) -> (usize, usize) {
-    let (mut replay, mut lost) = (replay::Replay::default(), 0);
-    // Memory can always be had.
-    let Ok((_, mut pieces)) = frame::read(text) else { return (0, 0) };
-    while let Ok(Some(piece)) = pieces.piece() {
-        if let frame::Piece::Damaged { size, .. } | frame::Piece::Torn { size, .. } = piece {
-            lost += size;
+pub fn scan_bytes(bytes: &[u8]) -> (usize, usize) {
+    let (mut replay, mut unreadable) = (replay::Replay::default(), 0);
+    // Reading from memory does not fail.
+    let Ok((_, mut entries)) = frame::read(bytes) else { return (0, 0) };
+    while let Ok(Some(entry)) = entries.next_entry() {
+        if let frame::Entry::Damaged { size, .. } | frame::Entry::Torn { size, .. } = entry {
+            unreadable += size;
         }
-        replay.take(piece);
+        replay.apply_entry(entry);
     }
-    (replay.records(), lost)
+    (replay.record_count(), unreadable)
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,62 +1,65 @@
-//! What stands in the journal.
+//! Records of the journal.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A message as it was taken on.
+/// An accepted message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its id, new each time that a message is handed in.
+    /// Message id, new for each submission.
     pub id: String,
-    /// Its class by name: numbers may differ after the next start.
+    /// Class name. Classes are not stored by number, since numbers may differ after the next start.
     pub class: String,
-    /// Its tenant by name.
+    /// Tenant name.
     pub tenant: Option<String>,
-    /// Its destination.
+    /// Destination number.
     pub dest: u64,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// Until when it may be delivered: Unix time, in milliseconds.
+    /// Time until which the message may be delivered, in Unix milliseconds.
     pub deadline: u64,
-    /// The body as it came.
+    /// Body as received; stored after the JSON head of the record.
     #[serde(skip)]
     pub body: Bytes,
 }
 
-/// One entry. The names on disk are those of the first version.
+/// A journal record. The names on disk are those of the first format version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Taken on.
+    /// A message was accepted.
     #[serde(rename = "Taken")]
     Accepted(Accepted),
-    /// An attempt goes out: message, attempt, Unix time (ms) and zone of the endpoint.
+    /// An attempt is about to be sent: message id, attempt number, Unix time in ms and zone of the endpoint.
     Sent(String, usize, u64, String),
-    /// It ended: message, attempt and whether it may have run.
+    /// An attempt ended: message id, attempt number and whether it may have run.
     Ended(String, usize, bool),
-    /// The module gave the message up and a notice is owed; until when (Unix ms) that is worth remembering.
+    /// The message ended and its notice has yet to be acknowledged: message id, end, and time (Unix ms) until
+    /// which the end is remembered.
     #[serde(rename = "Owed")]
     NoticePending(String, NoticeEnd, u64),
-    /// Nothing more is owed: message, its end, and until when (Unix ms) that is worth remembering.
+    /// The message is closed and needs no notice any more: message id, end, and time (Unix ms) until which
+    /// the end is remembered.
     #[serde(rename = "Over")]
     Closed(String, End, u64),
-    /// Records stood here that can't be read: any message that was open may have been sent.
+    /// Unreadable records were dropped at this position: any message open at that point may have been sent.
     Gap,
-    /// Ends that still bound when the file was written anew. They stand before all other records.
+    /// Ends that had not expired when the file was compacted. These records precede all others.
     Ends(Ends),
 }
 
-/// Ends of many messages, by the hash of their ids.
+/// Ends of many messages, keyed by the hash of the message id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ends {
-    /// The key of the hashes.
+    /// Hash key.
     pub key: [u64; 2],
-    /// 24 bytes each: the hash (16, little-endian halves), then until when (Unix ms) and in the two lowest bits how.
+    /// Entries of 24 bytes: the hash (16 bytes, two little-endian halves), then a little-endian integer with
+    /// the expiry time (Unix ms) above its two lowest bits, which hold the kind of end.
     #[serde(skip)]
     pub body: Bytes,
 }
 
 impl Record {
-    /// The bytes that stand behind its head, as they are.
+    /// Returns the bytes stored unencoded after the JSON head, if this kind of record has any.
     pub(crate) fn body(&mut self) -> Option<&mut Bytes> {
         match self {
             Record::Accepted(Accepted { body, .. }) | Record::Ends(Ends { body, .. }) => Some(body),
@@ -64,7 +67,7 @@
         }
     }
 
-    /// The message that it is about, if it is about one.
+    /// Returns the id of the message that the record belongs to, if it belongs to one.
     pub(crate) fn id(&self) -> Option<&str> {
         match self {
             Record::Accepted(Accepted { id, .. })
@@ -77,26 +80,26 @@
     }
 }
 
-/// How a message ended.
+/// The end of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// Given up: it may have taken effect.
+    /// The message was given up; it may have taken effect.
     Failed,
-    /// Handed back: another try does no harm.
+    /// The message was handed back; submitting it again does no harm.
     Refused,
 }
 
-/// How a message ended of which the platform is to be told, in the words of its notices (PROTOCOL, "Notices").
+/// The end of a message that is reported to the platform, named as in its notices (PROTOCOL, "Notices").
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum NoticeEnd {
-    /// Failed: it may have taken effect.
+    /// The message was given up; it may have taken effect.
     GivenUp,
-    /// Refused: another try does no harm.
+    /// The message was handed back; submitting it again does no harm.
     HandedBack {
-        /// When the client should come again (ms).
+        /// Delay in milliseconds after which the client should submit the message again.
         #[serde(skip_serializing_if = "Option::is_none")]
         retry_in_ms: Option<u64>,
     },
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -1,83 +1,85 @@
-//! Puts the messages together again from their records.
+//! Reconstruction of the open messages from their records.
 //!
-//! What a gap in the records means, message by message:
+//! Effect of a gap in the records on a message, by the record that was lost:
 //!
-//! | lost | known of it | what is made of the message |
+//! | lost record | what is known | result |
 //! | --- | --- | --- |
-//! | `Accepted` | a later record names it | it is owed the end `given_up`: its content is gone |
-//! | `Accepted` | nothing | it can't be told of; the gap is |
-//! | `Sent` | it was open at the gap | in doubt: it may have run, at no known time |
-//! | `Ended` | its attempt has no end | that attempt may have run |
-//! | `Owed` | it was open at the gap | in doubt, as for `Sent` |
-//! | `Closed` | it was open at the gap | in doubt, as for `Sent`: nothing that must not run twice is sent again |
+//! | `Accepted` | a later record names the message | orphan: content lost, a `given_up` notice is due |
+//! | `Accepted` | nothing | the message is unknown; only the gap is reported |
+//! | `Sent` | the message was open at the gap | in doubt: it may have run, at an unknown time |
+//! | `Ended` | the attempt has no end | that attempt may have run |
+//! | `NoticePending` | the message was open at the gap | in doubt, as for `Sent` |
+//! | `Closed` | the message was open at the gap | in doubt, as for `Sent`: not repeated if that is unsafe |
 
-use crate::frame::Piece;
+use crate::frame::Entry;
 use crate::record::{Accepted, NoticeEnd, Record};
 use std::collections::HashMap;
 
-/// An attempt found in the journal.
+/// An attempt of a recovered message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// When it was sent (Unix ms); 0 where the record of that is lost.
+    /// Time of sending (Unix ms); 0 if that record is lost.
     pub sent_ms: u64,
-    /// The zone of its endpoint.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// False only where it is known that it never ran.
+    /// False only if the attempt is known not to have run.
     pub may_have_run: bool,
 }
 
-/// An open message found in the journal.
+/// An open message recovered from the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenMessage {
-    /// The message.
+    /// The message as accepted.
     pub accepted: Accepted,
-    /// Its attempts so far.
+    /// Attempts so far.
     pub attempts: Vec<Attempt>,
-    /// The notice that is owed for it, where the module had given it up.
+    /// The notice that is still to be acknowledged, if the message had ended.
     pub pending_notice: Option<NoticeEnd>,
-    /// Records were lost while it was open: it may have run beside what its attempts tell.
+    /// Whether records were lost while the message was open, so that it may have run in attempts not listed
+    /// here.
     pub in_doubt: bool,
 }
 
-/// The state of all messages after the records so far.
+/// The state of all messages after the records applied so far.
 #[derive(Default)]
 pub(crate) struct Replay {
-    /// With the number of the record by which each was taken on.
+    /// Open messages with their position in the order of acceptance.
     open: HashMap<String, (usize, OpenMessage)>,
-    /// Messages named behind a gap whose content is lost, and their end where it is known.
+    /// Messages whose content was lost in a gap, with the end that is due.
     orphans: HashMap<String, NoticeEnd>,
     gap: bool,
-    taken: usize,
-    records: usize,
+    accepted_count: usize,
+    record_count: usize,
 }
 
 impl Replay {
-    pub(crate) fn take(&mut self, piece: Piece) {
-        match piece {
-            Piece::Record { record, .. } => {
-                self.records += 1;
+    pub(crate) fn apply_entry(&mut self, entry: Entry) {
+        match entry {
+            Entry::Record { record, .. } => {
+                self.record_count += 1;
                 self.apply(record);
             }
-            Piece::Damaged { .. } => self.apply(Record::Gap),
-            // Nothing of a turn that was not written whole had been acted upon.
-            Piece::Torn { .. } => {}
+            Entry::Damaged { .. } => self.apply(Record::Gap),
+            // A turn that was not written completely had no effect outside the process.
+            Entry::Torn { .. } => {}
         }
     }
 
-    pub(crate) fn records(&self) -> usize {
-        self.records
+    pub(crate) fn record_count(&self) -> usize {
+        self.record_count
     }
 
     pub(crate) fn apply(&mut self, record: Record) {
-        // An end that is owed stays owed, also where the gap that brought it about is past.
+        // A pending notice of an unknown message makes it an orphan even if the gap itself is no longer in
+        // the file: compaction drops gaps that concern no open message.
         if let Some(id) = record.id()
             && (self.gap || matches!(record, Record::NoticePending(..)))
             && !matches!(record, Record::Accepted(_) | Record::Closed(..))
             && !self.open.contains_key(id)
         {
             let end = self.orphans.entry(id.to_owned()).or_insert(NoticeEnd::GivenUp);
-            if let Record::NoticePending(_, owed, _) = record {
-                *end = owed;
+            if let Record::NoticePending(_, pending, _) = record {
+                *end = pending;
             }
             return;
         }
@@ -87,26 +89,26 @@
                 let id = accepted.id.clone();
                 let open =
                     OpenMessage { accepted, attempts: Vec::new(), pending_notice: None, in_doubt: false };
-                // An id that came again after its end stands where it was taken on last.
-                self.taken += 1;
-                self.open.insert(id, (self.taken, open));
+                // An id that was accepted again after its end takes the position of the last acceptance.
+                self.accepted_count += 1;
+                self.open.insert(id, (self.accepted_count, open));
             }
-            // Without an end it may have run: the process ended while it was out.
-            Record::Sent(id, attempt, sent, zone) => {
+            // An attempt without an end may have run: the process ended while it was in flight.
+            Record::Sent(id, attempt, sent_ms, zone) => {
                 if let Some((_, open)) = self.open.get_mut(&id) {
-                    fill(&mut open.attempts, attempt + 1);
-                    if let Some(a) = open.attempts.get_mut(attempt) {
-                        *a = Attempt { sent_ms: sent, zone, may_have_run: true };
+                    pad_attempts(&mut open.attempts, attempt + 1);
+                    if let Some(found) = open.attempts.get_mut(attempt) {
+                        *found = Attempt { sent_ms, zone, may_have_run: true };
                     }
                 }
             }
             Record::Ended(id, attempt, may_have_run) => {
                 if let Some((_, open)) = self.open.get_mut(&id) {
                     if self.gap {
-                        fill(&mut open.attempts, attempt + 1);
+                        pad_attempts(&mut open.attempts, attempt + 1);
                     }
-                    if let Some(a) = open.attempts.get_mut(attempt) {
-                        a.may_have_run = may_have_run;
+                    if let Some(found) = open.attempts.get_mut(attempt) {
+                        found.may_have_run = may_have_run;
                     }
                 }
             }
@@ -127,10 +129,10 @@
         }
     }
 
-    /// The open messages in the order taken, and the ends owed for those whose content is lost.
+    /// Returns the open messages in the order of acceptance, and the orphans with the ends that are due.
     pub(crate) fn finish(self) -> (Vec<OpenMessage>, Vec<(String, NoticeEnd)>) {
         let mut open: Vec<(usize, OpenMessage)> = self.open.into_values().collect();
-        open.sort_unstable_by_key(|(taken, _)| *taken);
+        open.sort_unstable_by_key(|(order, _)| *order);
         let open = open.into_iter().map(|(_, open)| open).collect();
         let mut orphans: Vec<(String, NoticeEnd)> = self.orphans.into_iter().collect();
         orphans.sort_by(|a, b| a.0.cmp(&b.0));
@@ -138,10 +140,11 @@
     }
 }
 
-/// Attempts whose records are lost may have run. A number far from any that is allowed is damage too.
-fn fill(attempts: &mut Vec<Attempt>, len: usize) {
-    const MOST: usize = 64;
-    while attempts.len() < len.min(MOST) {
+/// Extends the list to `len` attempts. Attempts whose records are lost may have run. The length is bounded,
+/// because a number far above the permitted number of attempts is damage too.
+fn pad_attempts(attempts: &mut Vec<Attempt>, len: usize) {
+    const MAX_ATTEMPTS: usize = 64;
+    while attempts.len() < len.min(MAX_ATTEMPTS) {
         attempts.push(Attempt { sent_ms: 0, zone: String::new(), may_have_run: true });
     }
 }
--- a/crates/journal/src/segments.rs
+++ b/crates/journal/src/segments.rs
@@ -1,28 +1,29 @@
-//! Segments: one journal for each shard of a process, and the way from one number of shards to another.
+//! Segments: one journal for each shard of a process, and migration from one number of shards to another.
 //!
 //! ```text
-//! state/journal                     one shard, as it always was: generation 0
+//! state/journal                     one shard: generation 0
 //! state/layout-G-N/shard-K/journal  N shards, generation G
-//! state/layout.new                  a layout that was not finished
+//! state/layout.new                  an unfinished layout
 //! ```
 //!
-//! A start with another number of shards writes a whole new layout beside the old one and renames it into its place.
-//! Until then the old one is in force; from then on the new one is, being of a higher generation, and the old one is
-//! taken away. An open message goes to the shard of its destination. An end is known by the hash of its message's id
-//! alone, so it goes to all shards until it is past.
+//! A start with another number of shards writes a complete new layout beside the old one and renames it into
+//! place. Until the rename the old layout is in force; after it the new one is, since its generation is
+//! higher, and the old one is removed. An open message goes to the shard of its destination. An end is stored
+//! only under the hash of the message id, so its destination is unknown and it is copied to all shards until
+//! it expires.
 
 use crate::replay::OpenMessage;
-use crate::store::{self, Carried, Durability, JournalError, Options};
+use crate::store::{self, Durability, JournalError, Options, SegmentContents};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A layout that stands in a folder.
+/// A layout found in a state folder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Layout {
     generation: u64,
     shards: usize,
-    /// Where it stands; none for generation 0, whose journal stands in the state folder itself.
+    /// Folder of the layout; `None` for generation 0, whose journal is in the state folder itself.
     folder: Option<PathBuf>,
 }
 
@@ -30,18 +31,19 @@
     fn segments(&self, state: &Path) -> Vec<PathBuf> {
         match &self.folder {
             None => vec![state.to_path_buf()],
-            Some(folder) => (0..self.shards).map(|k| folder.join(format!("shard-{k}"))).collect(),
+            Some(folder) => (0..self.shards).map(|shard| folder.join(format!("shard-{shard}"))).collect(),
         }
     }
 }
 
-/// The folders of the journals of so many shards, in their order. What the journals of another number of shards
-/// hold has been taken over; `shard_of` tells the shard of a destination. `options` are those of each segment.
+/// Returns the folders of the journals of `shards` shards, in order, after migrating the contents of a layout
+/// with another number of shards. `shard_of` returns the shard of a destination; `options` apply to each
+/// segment.
 ///
 /// # Errors
 ///
-/// As for [`crate::Journal::open`]; also [`JournalError::Full`] if what is to be taken over has no room. The old
-/// layout is in force then.
+/// As for [`crate::Journal::open`]; also [`JournalError::Full`] if the migrated contents do not fit. The old
+/// layout then stays in force.
 pub fn prepare_segments(
     state: &Path,
     shards: usize,
@@ -56,49 +58,50 @@
     let mut found = layouts(state)?;
     found.sort();
     let Some(old) = found.pop() else { return Ok(vec![state.to_path_buf()]) };
-    // Left by a process that ended between the two steps: whatever stands in them stands in the newest too.
+    // Left by a process that ended between the rename and the removal: the newest layout holds all of their
+    // contents.
     for layout in &found {
-        take_away(state, layout)?;
+        remove_layout(state, layout)?;
     }
     if old.shards == shards.max(1) {
         return Ok(old.segments(state));
     }
-    // Held until the new layout is in force.
-    let held: Vec<Carried> = old
+    // Each stays locked until the new layout is in force.
+    let contents: Vec<SegmentContents> = old
         .segments(state)
         .iter()
-        .map(|folder| store::carry(folder, options, now))
+        .map(|folder| store::read_segment(folder, options, now))
         .collect::<Result<_, _>>()?;
     let new = Layout {
         generation: old.generation + 1,
         shards: shards.max(1),
         folder: Some(state.join(format!("layout-{}-{}", old.generation + 1, shards.max(1)))),
     };
-    let parts = Layout { folder: Some(unfinished.clone()), ..new.clone() };
-    for (number, folder) in parts.segments(state).iter().enumerate() {
-        let own = |open: &&OpenMessage| shard_of(open.accepted.dest) == number;
-        let open: Vec<&OpenMessage> = held.iter().flat_map(|c| &c.open).filter(own).collect();
-        // Whose content is lost is of no known destination: the first shard owes those their end.
-        let orphans = held.iter().filter(|_| number == 0).flat_map(|c| &c.orphans);
-        store::plant(folder, options, now, &held, &open, orphans)?;
+    let unfinished_layout = Layout { folder: Some(unfinished.clone()), ..new.clone() };
+    for (number, folder) in unfinished_layout.segments(state).iter().enumerate() {
+        let belongs_here = |open: &&OpenMessage| shard_of(open.accepted.dest) == number;
+        let open: Vec<&OpenMessage> = contents.iter().flat_map(|c| &c.open).filter(belongs_here).collect();
+        // The destination of an orphan is lost: the first shard sends its notice.
+        let orphans = contents.iter().filter(|_| number == 0).flat_map(|c| &c.orphans);
+        store::create_segment(folder, options, now, &contents, &open, orphans)?;
     }
-    let synced = |folder: &Path| match options.durability {
+    let sync = |folder: &Path| match options.durability {
         Durability::Process => Ok(()),
         Durability::Disk => File::open(folder)?.sync_all(),
     };
-    synced(&unfinished)?;
+    sync(&unfinished)?;
     if let Some(folder) = &new.folder {
         fs::rename(&unfinished, folder)?;
     }
-    synced(state)?;
-    // Still held: nobody else may take on anything there meanwhile.
-    take_away(state, &old)?;
-    drop(held);
+    sync(state)?;
+    // Still locked: no other process may accept messages there meanwhile.
+    remove_layout(state, &old)?;
+    drop(contents);
     Ok(new.segments(state))
 }
 
-/// Whether the journals of several shards stand in a folder, or have stood there: [`prepare_segments`] finds its way there,
-/// [`crate::Journal::open`] alone does not.
+/// Returns whether a state folder has, or has had, the journals of several shards. [`prepare_segments`] finds
+/// them there, [`crate::Journal::open`] alone does not.
 ///
 /// # Errors
 ///
@@ -107,7 +110,8 @@
     Ok(layouts(state)?.iter().any(|layout| layout.folder.is_some()))
 }
 
-/// The layouts of a state folder; generation 0 is one of them as long as nothing has come after it.
+/// Returns the layouts in a state folder. Generation 0 is one of them if its journal exists or no other
+/// layout does.
 fn layouts(state: &Path) -> io::Result<Vec<Layout>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(state)? {
@@ -124,7 +128,8 @@
     Ok(found)
 }
 
-fn take_away(state: &Path, layout: &Layout) -> io::Result<()> {
+/// Removes the journals of a layout.
+fn remove_layout(state: &Path, layout: &Layout) -> io::Result<()> {
     match &layout.folder {
         Some(folder) => fs::remove_dir_all(folder),
         None => match fs::remove_file(state.join("journal")) {
@@ -145,7 +150,7 @@
 
     const OPTIONS: Options = Options { max_bytes: 4 << 20, durability: Durability::Process };
 
-    fn shard(shards: usize) -> impl Fn(u64) -> usize {
+    fn shard_of(shards: usize) -> impl Fn(u64) -> usize {
         move |dest| dest as usize % shards
     }
 
@@ -161,13 +166,13 @@
         })
     }
 
-    /// Every message that is open anywhere, with the shard that has it.
-    fn open(folders: &[PathBuf]) -> BTreeMap<String, (usize, OpenMessage)> {
+    /// Returns all open messages with their shards, and checks that none is in two shards.
+    fn open_messages(folders: &[PathBuf]) -> BTreeMap<String, (usize, OpenMessage)> {
         let mut all = BTreeMap::new();
         for (number, folder) in folders.iter().enumerate() {
-            let (_, recovered) = Journal::open(folder, OPTIONS, NOW).expect("it opens");
+            let (_, recovered) = Journal::open(folder, OPTIONS, NOW).expect("the journal opens");
             for open in recovered.open {
-                assert!(all.insert(open.accepted.id.clone(), (number, open)).is_none(), "taken up twice");
+                assert!(all.insert(open.accepted.id.clone(), (number, open)).is_none(), "open in two shards");
             }
         }
         all
@@ -176,18 +181,19 @@
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(24))]
 
-        /// Over any sequence of shard counts, with a process that ends before or after the last step: each open
-        /// message is taken up once, by its own shard, as it was, and every end that binds is known to each shard.
+        /// Migrates through random shard counts, optionally with an unfinished layout left by a crash. Each
+        /// open message must be in its own shard only, unchanged, and every unexpired end must be known to
+        /// each shard.
         #[test]
-        fn nothing_is_lost_or_doubled_between_two_numbers_of_shards(
-            counts in proptest::collection::vec(1..5usize, 1..5), cut in any::<bool>()
+        fn migration_neither_loses_nor_duplicates_messages(
+            counts in proptest::collection::vec(1..5usize, 1..5), crash in any::<bool>()
         ) {
-            let state = tempfile::tempdir().expect("a folder");
+            let state = tempfile::tempdir().expect("a temporary folder");
             let state = state.path();
-            let first = prepare_segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
-            let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
+            let first = prepare_segments(state, 1, OPTIONS, NOW, shard_of(1)).expect("the folder is new");
+            let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("the journal opens");
             let records: Vec<Record> = (0..20).map(message).collect();
-            journal.commit(&records, NOW).expect("there is room");
+            journal.commit(&records, NOW).expect("there is space");
             for n in 0..20u64 {
                 let id = format!("m{n}");
                 match n % 5 {
@@ -201,91 +207,92 @@
                     _ => {}
                 }
             }
-            journal.commit(&[], NOW).expect("there is room");
+            journal.commit(&[], NOW).expect("there is space");
             drop(journal);
-            let before = open(&first);
+            let before = open_messages(&first);
             prop_assert_eq!(before.len(), 16);
             for shards in counts {
-                if cut {
-                    // A layout that was not finished.
-                    fs::create_dir_all(state.join("layout.new/shard-0")).expect("a folder");
-                    fs::write(state.join("layout.new/shard-0/journal"), b"half").expect("it is writable");
+                if crash {
+                    // An unfinished layout.
+                    fs::create_dir_all(state.join("layout.new/shard-0")).expect("the folder is writable");
+                    fs::write(state.join("layout.new/shard-0/journal"), b"half").expect("the file is writable");
                 }
-                let folders = prepare_segments(state, shards, OPTIONS, NOW, shard(shards)).expect("there is room");
+                let folders = prepare_segments(state, shards, OPTIONS, NOW, shard_of(shards)).expect("there is space");
                 prop_assert_eq!(folders.len(), shards);
-                let now = open(&folders);
+                let now = open_messages(&folders);
                 prop_assert_eq!(now.len(), before.len());
                 for (id, (number, open)) in &now {
                     prop_assert_eq!(*number, open.accepted.dest as usize % shards);
                     prop_assert_eq!(open, &before[id].1);
                 }
                 for folder in &folders {
-                    let (journal, _) = Journal::open(folder, OPTIONS, NOW).expect("it opens");
+                    let (journal, _) = Journal::open(folder, OPTIONS, NOW).expect("the journal opens");
                     for n in (0..20).step_by(5) {
                         prop_assert_eq!(journal.end_of(&format!("m{n}")), Some((End::Delivered, NOW + 5000)));
                     }
                 }
-                let kept = layouts(state).expect("it can be read");
-                prop_assert_eq!(kept.len(), 1, "{:?}", kept);
+                let remaining = layouts(state).expect("the folder can be read");
+                prop_assert_eq!(remaining.len(), 1, "{:?}", remaining);
             }
         }
     }
 
-    /// A process that ended after the new layout was in force and before the old one was gone.
+    /// The process ended after the new layout came into force and before the old one was removed.
     #[test]
-    fn of_two_layouts_the_newer_is_in_force() {
-        let state = tempfile::tempdir().expect("a folder");
+    fn uses_the_newer_of_two_layouts() {
+        let state = tempfile::tempdir().expect("a temporary folder");
         let state = state.path();
-        let first = prepare_segments(state, 1, OPTIONS, NOW, shard(1)).expect("it is new");
-        let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
-        journal.commit(&[message(1), message(2)], NOW).expect("there is room");
+        let first = prepare_segments(state, 1, OPTIONS, NOW, shard_of(1)).expect("the folder is new");
+        let (mut journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("the journal opens");
+        journal.commit(&[message(1), message(2)], NOW).expect("there is space");
         drop(journal);
-        let old = fs::read(state.join("journal")).expect("it is there");
-        let folders = prepare_segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
-        let (mut journal, _) = Journal::open(&folders[1], OPTIONS, NOW).expect("it opens");
+        let old = fs::read(state.join("journal")).expect("the journal exists");
+        let folders = prepare_segments(state, 2, OPTIONS, NOW, shard_of(2)).expect("there is space");
+        let (mut journal, _) = Journal::open(&folders[1], OPTIONS, NOW).expect("the journal opens");
         journal.enqueue(&Record::Closed("m1".into(), End::Delivered, NOW + 5000), NOW);
-        journal.commit(&[], NOW).expect("there is room");
+        journal.commit(&[], NOW).expect("there is space");
         drop(journal);
-        fs::write(state.join("journal"), old).expect("it is writable");
-        let again = prepare_segments(state, 2, OPTIONS, NOW, shard(2)).expect("there is room");
-        assert_eq!(again, folders);
-        assert_eq!(open(&again).keys().collect::<Vec<_>>(), ["m2"]);
+        fs::write(state.join("journal"), old).expect("the file is writable");
+        let reopened = prepare_segments(state, 2, OPTIONS, NOW, shard_of(2)).expect("there is space");
+        assert_eq!(reopened, folders);
+        assert_eq!(open_messages(&reopened).keys().collect::<Vec<_>>(), ["m2"]);
         assert!(!state.join("journal").exists());
     }
 
-    /// Segments that began with nothing, and files written anew once all their ends were past: the key of their hashes
-    /// must outlast that, or the ends of two segments could not be told apart from then on.
+    /// Segments that start empty, and files compacted after all their ends had expired, must keep the hash
+    /// key: otherwise the segments would have different keys, and their ends could not be merged in a later
+    /// migration.
     #[test]
-    fn segments_that_held_no_ends_can_be_laid_out_anew() {
-        let state = tempfile::tempdir().expect("a folder");
+    fn migrates_segments_that_held_no_ends() {
+        let state = tempfile::tempdir().expect("a temporary folder");
         let state = state.path();
         let mut now = NOW;
         for shards in [4, 2, 3, 1] {
             let folders =
-                prepare_segments(state, shards, OPTIONS, now, shard(shards)).expect("there is room");
+                prepare_segments(state, shards, OPTIONS, now, shard_of(shards)).expect("there is space");
             for (number, folder) in folders.iter().enumerate() {
-                let (mut journal, _) = Journal::open(folder, OPTIONS, now).expect("it opens");
-                // Long enough to be written anew, with no end in it: those of the round before are past.
+                let (mut journal, _) = Journal::open(folder, OPTIONS, now).expect("the journal opens");
+                // Enough records to cause a compaction; the ends of the previous round have expired by then.
                 for _ in 0..100 {
-                    journal.commit(&vec![Record::Gap; 200], now).expect("there is room");
+                    journal.commit(&vec![Record::Gap; 200], now).expect("there is space");
                 }
                 let until = now + 5000;
                 journal.enqueue(&Record::Closed(format!("{shards}-{number}"), End::Failed, until), now);
-                journal.commit(&[], now).expect("there is room");
+                journal.commit(&[], now).expect("there is space");
             }
             now += 10_000;
         }
     }
 
-    /// Another process has the old segments: nothing is taken from under it.
+    /// Another process has the old segments open: they must not be migrated.
     #[test]
-    fn segments_that_are_held_are_left_alone() {
-        let state = tempfile::tempdir().expect("a folder");
-        let first = prepare_segments(state.path(), 1, OPTIONS, NOW, shard(1)).expect("it is new");
-        let (held, _) = Journal::open(&first[0], OPTIONS, NOW).expect("it opens");
-        let taken = prepare_segments(state.path(), 3, OPTIONS, NOW, shard(3));
-        assert!(matches!(taken, Err(JournalError::Locked(_))), "{taken:?}");
-        drop(held);
-        assert!(prepare_segments(state.path(), 3, OPTIONS, NOW, shard(3)).is_ok());
+    fn does_not_migrate_locked_segments() {
+        let state = tempfile::tempdir().expect("a temporary folder");
+        let first = prepare_segments(state.path(), 1, OPTIONS, NOW, shard_of(1)).expect("the folder is new");
+        let (journal, _) = Journal::open(&first[0], OPTIONS, NOW).expect("the journal opens");
+        let result = prepare_segments(state.path(), 3, OPTIONS, NOW, shard_of(3));
+        assert!(matches!(result, Err(JournalError::Locked(_))), "{result:?}");
+        drop(journal);
+        assert!(prepare_segments(state.path(), 3, OPTIONS, NOW, shard_of(3)).is_ok());
     }
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,7 +1,7 @@
-//! The file: appending, compacting, room, and what is done about damage.
+//! The log file: appending, compaction, space accounting, and handling of damage.
 
-use crate::ends::{self, Ends, Name};
-use crate::frame::{self, FILE_HEAD, Mark, Piece, Window};
+use crate::ends::{self, Ends, IdHash};
+use crate::frame::{self, Entry, FILE_HEAD_BYTES, Mark, Window};
 use crate::record::{self, End, NoticeEnd, Record};
 use crate::replay::{OpenMessage, Replay};
 use bytes::Bytes;
@@ -13,143 +13,149 @@
 use std::path::{Path, PathBuf};
 use yarrowhill_faults::{Point, crash_point};
 
-/// Room kept for each open message, so that its attempts and its end still fit when the disk is full.
-const RESERVE: u64 = 1024;
-/// A file is not compacted while it is shorter than this.
-const COMPACT_FROM: u64 = 256 << 10;
-/// To make room, a file is compacted where that frees this part of the bound.
-const WORTH_COMPACTING: u64 = 16;
-/// Ends in one record of a compacted file, and what such a record takes beside them.
-const ENDS_A_RECORD: usize = 1024;
-const ENDS_HEAD: u64 = 96;
-/// Slots that are looked at for ends that are past, each time that room is short.
-const SWEEP: usize = 256;
-/// After a write that failed, nothing new is taken on for so long (ms): what is left of the disk is for ends.
-const SCARCE: u64 = 1000;
-/// After a write that failed, the file is written anew so often (ms) even where that frees little.
-const COMPACT_AGAIN: u64 = 50;
-/// What is read of the file at a time when it is opened.
-const CHUNK: usize = 64 << 10;
-/// Records in one write of a segment that is laid out anew.
-const RECORDS_A_WRITE: usize = 1024;
-/// What is gathered of a compacted copy before it is written.
-const COPY_BUFFER: usize = 16 << 10;
-/// Bytes that can't be read are kept aside up to this part of the bound.
-const ASIDE_PART: u64 = 16;
-
-/// What a written record outlasts.
+/// Space reserved for each open message, so that its attempts and its end still fit when the journal is full.
+const RESERVE_BYTES: u64 = 1024;
+/// Minimum size of a file to be compacted.
+const MIN_COMPACT_BYTES: u64 = 256 << 10;
+/// A file is compacted to free space only if that frees at least this fraction (1/N) of the size limit.
+const MIN_FREED_DIVISOR: u64 = 16;
+/// Maximum number of ends in one record of a compacted file.
+const MAX_ENDS_PER_RECORD: usize = 1024;
+/// Bytes that a record of ends takes in addition to its ends.
+const ENDS_OVERHEAD_BYTES: u64 = 96;
+/// Slots of the table of ends that are swept for expired ends whenever space is short.
+const SWEEP_SLOTS: usize = 256;
+/// Time after a failed write during which no new messages are accepted: the remaining disk space is kept for
+/// ends.
+const LOW_SPACE_MS: u64 = 1000;
+/// Minimum interval between compactions that follow failed writes and free little.
+const COMPACT_RETRY_MS: u64 = 50;
+/// Size of the chunks in which the file is read when it is opened.
+const READ_CHUNK_BYTES: usize = 64 << 10;
+/// Number of records after which a new segment is written to during migration.
+const RECORDS_PER_WRITE: usize = 1024;
+/// Size of the write buffer for a compacted copy.
+const COPY_BUFFER_BYTES: usize = 16 << 10;
+/// Damaged bytes are saved in a separate file up to this fraction (1/N) of the size limit.
+const DAMAGED_FILE_DIVISOR: u64 = 16;
+
+/// The failures that a written record survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The process, however it ends: a turn is one `write(2)`.
+    /// The end of the process, however it ends. A turn is one `write(2)`.
     Process,
-    /// The machine's power too: each turn's write is followed by one `fdatasync(2)`.
+    /// A power failure as well. Each turn's write is followed by one `fdatasync(2)`.
     Disk,
 }
 
-/// How a journal is kept.
+/// Options of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes that its files may take together.
+    /// Maximum total size of its files in bytes.
     pub max_bytes: u64,
-    /// What a written record outlasts.
+    /// Failures that a written record survives.
     pub durability: Durability,
 }
 
-/// Why the journal can't be opened, or a turn can't be written. Nothing of such a turn stands in the file.
+/// An error that prevents opening the journal or writing a turn. No record of such a turn is in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The bound is reached.
+    /// The size limit is reached.
     #[error("the journal is full")]
     Full,
-    /// Another process holds the folder.
-    #[error("the journal in {0} is held by another process")]
+    /// Another process has locked the folder.
+    #[error("the journal in {0} is locked by another process")]
     Locked(PathBuf),
-    /// The file can't be read or written.
-    #[error("the journal can't be read or written: {0}")]
+    /// A file of the journal can't be read or written.
+    #[error("cannot read or write the journal: {0}")]
     Io(#[from] io::Error),
 }
 
-/// A stretch of the file that could not be read.
+/// An unreadable part of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Where it begins, in bytes from the front of the file.
+    /// Offset from the beginning of the file in bytes.
     pub offset: u64,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub len: u64,
 }
 
-/// What a journal held when it was opened.
+/// The contents of a journal when it was opened.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// Messages that still owe their end, in the order taken.
+    /// Open messages in the order of acceptance.
     pub open: Vec<OpenMessage>,
-    /// Messages whose content is lost; this end is owed for each.
+    /// Ids of messages whose content is lost, with the end for which a notice is due.
     pub orphans: Vec<(String, NoticeEnd)>,
-    /// Where the file could not be read. Its bytes are in `journal.damaged`, as far as there is room.
+    /// Unreadable parts of the file. Their bytes are saved in `journal.damaged` as far as space allows.
     pub damage: Vec<Damage>,
-    /// Bytes at the end that a dying process had not written whole. Nothing in them had been acted upon.
+    /// Size of a torn tail: a turn that was not written completely and had no effect outside the process.
     pub torn_bytes: u64,
 }
 
-/// A record's place in the file.
+/// The position of a frame in the file, or in the backlog until it is written.
 #[derive(Clone, Copy, Debug)]
-struct Span {
-    at: u64,
+struct Extent {
+    offset: u64,
     len: u32,
 }
 
-/// An open message: the name and the turn of its being open, since an id may come again when its end binds no longer.
-type Open = (Name, u64);
+/// Key of an open message: the hash of its id and the generation, since an id may be reused after its end has
+/// expired.
+type MessageKey = (IdHash, u64);
 
-/// What the file holds of a message that is open.
+/// The records of an open message.
 #[derive(Debug, Default)]
-struct Live {
-    turn: u64,
-    /// Bytes of its records, those that are still to be written with them.
+struct LiveMessage {
+    generation: u64,
+    /// Size of its records, including those still in the backlog.
     bytes: u64,
-    /// Where they stand.
-    spans: Vec<Span>,
+    /// Positions of its records in the file.
+    extents: Vec<Extent>,
 }
 
 /// The open journal.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
-    /// Held as long as the journal is open.
+    /// Lock file, locked as long as the journal is open.
     _lock: File,
     file: File,
     mark: Mark,
     len: u64,
     limit: u64,
     durability: Durability,
-    /// The open messages, and the bytes of the records of all of them.
-    live: HashMap<Name, Live>,
+    /// The open messages.
+    live: HashMap<IdHash, LiveMessage>,
+    /// Total size of the records of the open messages.
     live_bytes: u64,
-    /// Where gaps are noted.
-    gaps: Vec<Span>,
-    /// Ends that still bind.
+    /// Positions of gap records.
+    gaps: Vec<Extent>,
+    /// Ends of messages until they expire.
     ends: Ends,
-    /// Frames that have no choice but to be written: ends of attempts and messages.
+    /// Frames that have to be written sooner or later: ends of attempts and messages.
     backlog: Vec<u8>,
-    /// Where in the backlog the records of open messages stand.
-    placed: Vec<(Open, Span)>,
-    /// Messages that were open so far.
-    turns: u64,
-    /// A write failed; until then (Unix ms) room is kept for what must be written.
-    scarce_until: u64,
-    /// Where little is freed, the file is not written anew before this (Unix ms).
+    /// Positions in the backlog of records of open messages.
+    backlog_extents: Vec<(MessageKey, Extent)>,
+    /// Generation of the last message that was opened.
+    last_generation: u64,
+    /// Time (Unix ms) until which no new messages are accepted after a failed write.
+    low_space_until: u64,
+    /// Time (Unix ms) before which a compaction that frees little is not tried again after a failed write.
     compact_after: u64,
-    /// The file may hold a part of a turn, or what a failed sync has left in doubt.
-    unclean: bool,
+    /// Whether the tail of the file is unknown after a failed write or sync, and has to be repaired.
+    tail_unknown: bool,
 }
 
 impl Journal {
-    /// Opens the journal of the folder and replays it. Damage in it is told of, kept aside and taken into account
-    /// (see [`Recovered`]); a torn end is cut off. The folder is held until the journal is dropped.
+    /// Opens the journal of a folder and replays it. Damaged parts are reported, saved in a separate file and
+    /// taken into account (see [`Recovered`]); a torn tail is cut off. The folder stays locked until the
+    /// journal is dropped.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Locked`] if another process has it open, [`JournalError::Io`] if a file can't be had.
+    /// [`JournalError::Locked`] if another process has it open, [`JournalError::Io`] if a file can't be
+    /// opened, read or written.
     pub fn open(folder: &Path, options: Options, now: u64) -> Result<(Self, Recovered), JournalError> {
         let path = folder.join("journal");
         let lock =
@@ -159,14 +165,14 @@
             Err(TryLockError::WouldBlock) => return Err(JournalError::Locked(folder.into())),
             Err(TryLockError::Error(e)) => return Err(e.into()),
         }
-        // Left by a process that ended while it compacted; the old file still holds all.
+        // Left by a process that ended during a compaction; the old file is still complete.
         match fs::remove_file(folder.join("journal.new")) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
             _ => {}
         }
         let file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let len = file.metadata()?.len();
-        let (mark, mut pieces) = frame::read(Window::new(file.try_clone()?, len, CHUNK))?;
+        let (mark, mut entries) = frame::read(Window::new(file.try_clone()?, len, READ_CHUNK_BYTES))?;
         let mut journal = Journal {
             path,
             _lock: lock,
@@ -180,57 +186,64 @@
             gaps: Vec::new(),
             ends: Ends::new(new_key()),
             backlog: Vec::new(),
-            placed: Vec::new(),
-            turns: 0,
-            scarce_until: 0,
+            backlog_extents: Vec::new(),
+            last_generation: 0,
+            low_space_until: 0,
             compact_after: 0,
-            unclean: false,
+            tail_unknown: false,
         };
         let mut recovered = Recovered::default();
         let mut replay = Replay::default();
-        let aside = journal.path.with_extension("damaged");
-        while let Some(piece) = pieces.piece()? {
-            match &piece {
-                Piece::Record { record, at, size } => {
-                    let span = Span { at: *at as u64, len: *size as u32 };
-                    if let Some(open) = journal.book(record, span.len, now) {
-                        journal.place(open, span);
+        let damaged_path = journal.path.with_extension("damaged");
+        while let Some(entry) = entries.next_entry()? {
+            match &entry {
+                Entry::Record { record, at, size } => {
+                    let extent = Extent { offset: *at as u64, len: *size as u32 };
+                    if let Some(key) = journal.track(record, extent.len, now) {
+                        journal.add_extent(key, extent);
                     } else if *record == Record::Gap {
-                        journal.gaps.push(span);
+                        journal.gaps.push(extent);
                     }
                 }
-                Piece::Damaged { at, size } => {
+                Entry::Damaged { at, size } => {
                     recovered.damage.push(Damage { offset: *at as u64, len: *size as u64 });
                     tracing::error!(
-                        "journal: {size} bytes at {at} can't be read; kept in {}",
-                        aside.display()
+                        "journal: {size} unreadable bytes at offset {at}; saved in {}",
+                        damaged_path.display()
+                    );
+                    save_damaged_bytes(
+                        &damaged_path,
+                        &journal.file,
+                        *at as u64,
+                        *size,
+                        options.max_bytes / DAMAGED_FILE_DIVISOR,
                     );
-                    keep_aside(&aside, &journal.file, *at as u64, *size, options.max_bytes / ASIDE_PART);
                 }
-                Piece::Torn { at, size } => {
+                Entry::Torn { at, size } => {
                     recovered.torn_bytes = *size as u64;
-                    tracing::warn!("journal: cut off {size} bytes of a torn tail at {at}");
+                    tracing::warn!("journal: cut off a torn tail of {size} bytes at offset {at}");
                     journal.len = *at as u64;
                     journal.file.set_len(journal.len)?;
                 }
             }
-            replay.take(piece);
+            replay.apply_entry(entry);
         }
         (recovered.open, recovered.orphans) = replay.finish();
-        let kept_aside = fs::metadata(&aside).map_or(0, |m| m.len());
-        journal.limit = journal.limit.saturating_sub(kept_aside);
-        // The ends of orphans are owed as firmly as others: they must be on record before the gap is forgotten.
+        let damaged_len = fs::metadata(&damaged_path).map_or(0, |m| m.len());
+        journal.limit = journal.limit.saturating_sub(damaged_len);
+        // Notices for orphans must be on record before the gap that reveals the orphans is dropped by a
+        // compaction.
         for (id, end) in &recovered.orphans {
             journal.enqueue(&Record::NoticePending(id.clone(), *end, now), now);
         }
         if journal.len == 0 {
-            journal.file.write_all(&frame::file_head(journal.mark))?;
-            journal.len = FILE_HEAD as u64;
+            journal.file.write_all(&frame::encode_file_head(journal.mark))?;
+            journal.len = FILE_HEAD_BYTES as u64;
         } else if mark.is_none() || !recovered.damage.is_empty() {
-            // Written anew: in the present form, and with the damage noted in its place.
-            match journal.write_anew(now, Journal::copy_pieces) {
+            // Rewrites the file in the current format, with gap records in place of the damage.
+            match journal.rewrite(now, Journal::copy_entries) {
                 Err(JournalError::Full) if mark.is_some() => {
-                    tracing::error!("journal: no room to write it anew without its damage");
+                    tracing::error!("journal: no space to rewrite the file without its damaged parts");
                 }
                 other => other?,
             }
@@ -242,78 +255,83 @@
         Ok((journal, recovered))
     }
 
-    /// Notes what must be written with the next turn, or whenever writing succeeds again.
+    /// Adds a record to the backlog, which is written with the next turn, or as soon as writing succeeds
+    /// again.
     pub fn enqueue(&mut self, record: &Record, now: u64) {
-        let span = self.put(record);
-        if let Some(open) = self.book(record, span.len, now) {
-            self.placed.push((open, span));
+        let extent = self.append_to_backlog(record);
+        if let Some(key) = self.track(record, extent.len, now) {
+            self.backlog_extents.push((key, extent));
         }
     }
 
-    /// Adds a record to the backlog; its place there.
-    fn put(&mut self, record: &Record) -> Span {
+    /// Encodes a record at the end of the backlog and returns its position there.
+    fn append_to_backlog(&mut self, record: &Record) -> Extent {
         let start = self.backlog.len();
-        frame::put(self.mark, record, &mut self.backlog);
-        Span { at: start as u64, len: (self.backlog.len() - start) as u32 }
+        frame::encode(self.mark, record, &mut self.backlog);
+        Extent { offset: start as u64, len: (self.backlog.len() - start) as u32 }
     }
 
-    /// How a message ended, if it did not long ago, and until when (Unix ms) that is worth remembering.
+    /// Returns the end of a message and its expiry time (Unix ms), if the message ended and the end is still
+    /// in the table.
     pub fn end_of(&self, id: &str) -> Option<(End, u64)> {
-        self.ends.get(self.ends.name(id))
+        self.ends.get(self.ends.hash(id))
     }
 
-    /// Whether all that was noted stands in the file.
+    /// Returns whether all enqueued records have been written.
     pub fn is_flushed(&self) -> bool {
         self.backlog.is_empty()
     }
 
-    /// Bytes in the file.
+    /// Returns the size of the file in bytes.
     pub fn size(&self) -> u64 {
         self.len
     }
 
-    /// Whether messages of this many bytes in all could still be taken on.
+    /// Returns whether this many messages, of this many bytes in total, can be accepted. Compacts the file if
+    /// that makes enough space.
     pub fn has_room(&mut self, messages: usize, bytes: usize, now: u64) -> bool {
-        // Records are short but for the body; names and keys are bounded where messages come in.
-        let more = bytes as u64 + messages as u64 * RESERVE;
-        if now < self.scarce_until {
+        // Records are short except for the body; the lengths of names and keys are limited at the intake.
+        let needed = bytes as u64 + messages as u64 * RESERVE_BYTES;
+        if now < self.low_space_until {
             return false;
         }
-        if self.fits(self.len, more) {
+        if self.fits(self.len, needed) {
             return true;
         }
-        self.ends.sweep(SWEEP, now);
-        // Guards the processor: near the bound, where compacting frees next to nothing, doing it for each message
-        // would take more time than there is, just when the most is held.
+        self.ends.sweep(SWEEP_SLOTS, now);
+        // Limits CPU use: near the size limit compaction frees next to nothing, and a compaction for each
+        // message would take too much time just when the journal is largest.
         let freed = self.len.saturating_sub(self.compacted_len());
-        freed >= self.limit / WORTH_COMPACTING
-            && self.fits(self.compacted_len(), more)
+        freed >= self.limit / MIN_FREED_DIVISOR
+            && self.fits(self.compacted_len(), needed)
             && self.compact(now).is_ok()
-            && self.fits(self.len, more)
+            && self.fits(self.len, needed)
     }
 
-    /// Room for a file of this length, its compacted copy, and `more` in both.
-    fn fits(&self, len: u64, more: u64) -> bool {
-        let reserve = self.live.len() as u64 * RESERVE;
-        len + self.compacted_len() + self.backlog.len() as u64 + 2 * (reserve + more) <= self.limit
+    /// Returns whether a file of this length and its compacted copy fit within the size limit, with `needed`
+    /// more bytes in both.
+    fn fits(&self, len: u64, needed: u64) -> bool {
+        let reserve = self.live.len() as u64 * RESERVE_BYTES;
+        len + self.compacted_len() + self.backlog.len() as u64 + 2 * (reserve + needed) <= self.limit
     }
 
+    /// Returns the length that the file would have after a compaction.
     fn compacted_len(&self) -> u64 {
         let ends = self.ends.len();
-        let records = ends.div_ceil(ENDS_A_RECORD).max(1) as u64 * ENDS_HEAD;
-        FILE_HEAD as u64 + self.live_bytes + records + (ends * ends::SLOT) as u64
+        let records = ends.div_ceil(MAX_ENDS_PER_RECORD).max(1) as u64 * ENDS_OVERHEAD_BYTES;
+        FILE_HEAD_BYTES as u64 + self.live_bytes + records + (ends * ends::SLOT_BYTES) as u64
     }
 
-    /// Writes what was noted and these records, all or nothing.
+    /// Writes the backlog and these records, all or nothing.
     ///
     /// # Errors
     ///
-    /// None of these records stands in the file then; what was noted stays noted.
+    /// None of these records is in the file then; the backlog is kept for the next write.
     pub fn commit(&mut self, records: &[Record], now: u64) -> Result<(), JournalError> {
-        let noted = self.backlog.len();
-        let mut spans = Vec::with_capacity(records.len());
+        let backlog_len = self.backlog.len();
+        let mut extents = Vec::with_capacity(records.len());
         for record in records {
-            spans.push(self.put(record));
+            extents.push(self.append_to_backlog(record));
         }
         if self.backlog.is_empty() {
             return Ok(());
@@ -322,42 +340,43 @@
             Ok(()) => {
                 let start = self.len - self.backlog.len() as u64;
                 self.backlog.clear();
-                for (record, span) in records.iter().zip(spans) {
-                    if let Some(open) = self.book(record, span.len, now) {
-                        self.placed.push((open, span));
+                for (record, extent) in records.iter().zip(extents) {
+                    if let Some(key) = self.track(record, extent.len, now) {
+                        self.backlog_extents.push((key, extent));
                     }
                 }
-                for (open, span) in std::mem::take(&mut self.placed) {
-                    self.place(open, Span { at: start + span.at, ..span });
+                for (key, extent) in std::mem::take(&mut self.backlog_extents) {
+                    self.add_extent(key, Extent { offset: start + extent.offset, ..extent });
                 }
-                if self.len > COMPACT_FROM.max(3 * self.compacted_len()) {
-                    // The long file still holds all: it is tried again after the next turn.
+                if self.len > MIN_COMPACT_BYTES.max(3 * self.compacted_len()) {
+                    // A failure is harmless: the old file is complete, and the next turn tries again.
                     if let Err(e) = self.compact(now) {
-                        tracing::warn!("journal: not compacted: {e}");
+                        tracing::warn!("journal: compaction failed: {e}");
                     }
                 }
                 Ok(())
             }
             Err(e) => {
-                self.backlog.truncate(noted);
+                self.backlog.truncate(backlog_len);
                 Err(e)
             }
         }
     }
 
     fn append(&mut self, now: u64) -> Result<(), JournalError> {
-        if self.unclean {
-            self.clean(now)?;
+        if self.tail_unknown {
+            self.repair_tail(now)?;
         }
         if self.len + self.backlog.len() as u64 > self.limit {
             return Err(JournalError::Full);
         }
         let written = self.file.write_all(&self.backlog).and_then(|()| self.sync());
         if let Err(e) = written {
-            // A part of it may stand there, and after a failed sync nobody knows what does.
-            self.unclean = true;
+            // A part of the turn may have been written, and after a failed sync the state of the file is
+            // unknown.
+            self.tail_unknown = true;
             if self.durability == Durability::Process {
-                self.clean(now)?;
+                self.repair_tail(now)?;
             }
             return Err(e.into());
         }
@@ -365,21 +384,21 @@
         Ok(())
     }
 
-    /// Tries it again with a file that holds only what is of use. Guards what is owed: a disk that is fuller than
-    /// the bound says must not keep the ends of messages from being written.
-    fn append_compacted(&mut self, now: u64, failed: JournalError) -> Result<(), JournalError> {
-        self.scarce_until = now + SCARCE;
+    /// Compacts the file after a failed write and tries the write again. With this the ends of messages can
+    /// be written even if the disk has less free space than the size limit assumes.
+    fn append_compacted(&mut self, now: u64, error: JournalError) -> Result<(), JournalError> {
+        self.low_space_until = now + LOW_SPACE_MS;
         let freed = self.len.saturating_sub(self.compacted_len());
-        // A copy has its price: not for every turn while next to nothing is freed.
-        let worth = freed >= (self.len / WORTH_COMPACTING).max(self.backlog.len() as u64);
-        if freed == 0 || !(worth || now >= self.compact_after) {
-            return Err(failed);
+        // A copy is expensive: it is not made for every turn while it frees next to nothing.
+        let frees_enough = freed >= (self.len / MIN_FREED_DIVISOR).max(self.backlog.len() as u64);
+        if freed == 0 || !(frees_enough || now >= self.compact_after) {
+            return Err(error);
         }
-        self.compact_after = now + COMPACT_AGAIN;
+        self.compact_after = now + COMPACT_RETRY_MS;
         if self.compact(now).is_err() {
-            return Err(failed);
+            return Err(error);
         }
-        tracing::warn!("journal: written anew after a failure: {failed}");
+        tracing::warn!("journal: compacted after a failed write: {error}");
         self.append(now)
     }
 
@@ -390,80 +409,86 @@
         }
     }
 
-    /// Brings the file back to its last whole turn.
-    fn clean(&mut self, now: u64) -> Result<(), JournalError> {
+    /// Restores the file to the last turn that was written completely.
+    fn repair_tail(&mut self, now: u64) -> Result<(), JournalError> {
         self.file.set_len(self.len)?;
         if self.durability == Durability::Disk {
-            // Pages whose sync has failed may be gone although they are read back: the file is written anew.
+            // Pages whose sync failed may be lost on disk although reads still return them: the file is
+            // rewritten.
             self.compact(now)?;
         }
-        self.unclean = false;
+        self.tail_unknown = false;
         Ok(())
     }
 
-    /// Keeps count of what a compacted file would hold. Gives the message whose record is to be kept in it.
-    fn book(&mut self, record: &Record, size: u32, now: u64) -> Option<Open> {
+    /// Updates the live messages and the ends for a record. Returns the key of the message if a compaction
+    /// has to keep the record.
+    fn track(&mut self, record: &Record, size: u32, now: u64) -> Option<MessageKey> {
         if let Record::Ends(ends) = record {
-            self.take_up(ends, now);
+            self.load_ends(ends, now);
         }
-        let name = self.ends.name(record.id()?);
+        let hash = self.ends.hash(record.id()?);
         match record {
             Record::Closed(_, end, until) => {
-                self.live_bytes -= self.live.remove(&name).map_or(0, |live| live.bytes);
-                self.ends.insert(name, *end, *until, now);
+                self.live_bytes -= self.live.remove(&hash).map_or(0, |live| live.bytes);
+                self.ends.insert(hash, *end, *until, now);
                 return None;
             }
-            Record::NoticePending(_, end, until) => self.ends.insert(name, (*end).into(), *until, now),
+            Record::NoticePending(_, end, until) => self.ends.insert(hash, (*end).into(), *until, now),
             _ => {}
         }
-        let turns = &mut self.turns;
-        let live = self.live.entry(name).or_insert_with(|| {
-            *turns += 1;
-            Live { turn: *turns, ..Live::default() }
+        let last_generation = &mut self.last_generation;
+        let live = self.live.entry(hash).or_insert_with(|| {
+            *last_generation += 1;
+            LiveMessage { generation: *last_generation, ..LiveMessage::default() }
         });
         live.bytes += u64::from(size);
         self.live_bytes += u64::from(size);
-        Some((name, live.turn))
+        Some((hash, live.generation))
     }
 
-    /// A record of a message stands there in the file.
-    fn place(&mut self, (name, turn): Open, span: Span) {
-        if let Some(live) = self.live.get_mut(&name).filter(|live| live.turn == turn) {
-            live.spans.push(span);
+    /// Adds the position in the file of a record of an open message.
+    fn add_extent(&mut self, (hash, generation): MessageKey, extent: Extent) {
+        if let Some(live) = self.live.get_mut(&hash).filter(|live| live.generation == generation) {
+            live.extents.push(extent);
         }
     }
 
-    /// The ends of the file: all of them are hashed with one key, and stand before whatever is hashed here.
-    fn take_up(&mut self, ends: &record::Ends, now: u64) {
+    /// Loads a record of ends. All ends of a file have the same hash key, and these records precede all
+    /// others, so that the key is set before any id is hashed.
+    fn load_ends(&mut self, ends: &record::Ends, now: u64) {
         if ends.key != self.ends.key() {
             if self.ends.len() > 0 || !self.live.is_empty() {
-                return tracing::error!("journal: {} bytes of ends under a foreign key", ends.body.len());
+                return tracing::error!(
+                    "journal: ignored {} bytes of ends with another hash key",
+                    ends.body.len()
+                );
             }
             self.ends = Ends::new(ends.key);
         }
-        self.ends.take_up(&ends.body, now);
+        self.ends.insert_encoded(&ends.body, now);
     }
 
-    /// Copies what is still of use into a new file and puts that in the old one's place.
+    /// Compacts the file: copies the live records into a new file that replaces the old one.
     fn compact(&mut self, now: u64) -> Result<(), JournalError> {
-        self.write_anew(now, |journal, out| journal.copy_spans(out))
+        self.rewrite(now, |journal, out| journal.copy_extents(out))
     }
 
-    /// Writes a new file, its ends first, then what `copy` writes, and puts it in the old one's place.
-    fn write_anew(
+    /// Writes a new file with the ends first and then the output of `copy`, and renames it over the old file.
+    fn rewrite(
         &mut self,
         now: u64,
-        copy: impl FnOnce(&Self, &mut Copy) -> Result<(), JournalError>,
+        copy: impl FnOnce(&Self, &mut CopyWriter) -> Result<(), JournalError>,
     ) -> Result<(), JournalError> {
         let new = self.path.with_extension("new");
         let file = OpenOptions::new().read(true).append(true).create(true).truncate(false).open(&new)?;
         file.set_len(0)?;
-        let out = BufWriter::with_capacity(COPY_BUFFER, &file);
-        let mut out = Copy {
+        let out = BufWriter::with_capacity(COPY_BUFFER_BYTES, &file);
+        let mut out = CopyWriter {
             out,
             len: 0,
-            most: self.limit.saturating_sub(self.len),
-            placed: Vec::new(),
+            max_len: self.limit.saturating_sub(self.len),
+            extents: Vec::new(),
             gaps: Vec::new(),
         };
         let copied = self.copy_ends(&mut out, now).and_then(|()| copy(self, &mut out)).and_then(|()| {
@@ -474,14 +499,14 @@
             crash_point(Point::BeforeRename);
             Ok(fs::rename(&new, &self.path)?)
         });
-        let (len, placed, gaps) = out.end();
+        let (len, extents, gaps) = out.finish();
         if let Err(e) = copied {
             fs::remove_file(&new)?;
             return Err(e);
         }
         (self.file, self.len, self.gaps) = (file, len, gaps);
-        self.live.values_mut().for_each(|live| live.spans.clear());
-        placed.into_iter().for_each(|(open, span)| self.place(open, span));
+        self.live.values_mut().for_each(|live| live.extents.clear());
+        extents.into_iter().for_each(|(key, extent)| self.add_extent(key, extent));
         if self.durability == Durability::Disk
             && let Some(folder) = self.path.parent()
         {
@@ -490,44 +515,45 @@
         Ok(())
     }
 
-    /// The file's head and the ends that still bind. One record of them at least, also of none: the key of their
-    /// hashes must outlast the file, since segments are told apart by nothing else.
-    fn copy_ends(&self, out: &mut Copy, now: u64) -> Result<(), JournalError> {
-        out.write(&frame::file_head(self.mark))?;
-        let mut body = Vec::with_capacity(ENDS_A_RECORD * ends::SLOT);
-        let mut binding = self.ends.binding(now).peekable();
-        let mut made = Vec::new();
+    /// Writes the file head and the unexpired ends. At least one record of ends is written, even an empty
+    /// one: the hash key must be kept, because the ends of several segments can be merged only if they have
+    /// the same key.
+    fn copy_ends(&self, out: &mut CopyWriter, now: u64) -> Result<(), JournalError> {
+        out.write(&frame::encode_file_head(self.mark))?;
+        let mut body = Vec::with_capacity(MAX_ENDS_PER_RECORD * ends::SLOT_BYTES);
+        let mut unexpired = self.ends.encode_unexpired(now).peekable();
+        let mut encoded = Vec::new();
         let mut first = true;
-        while std::mem::take(&mut first) || binding.peek().is_some() {
+        while std::mem::take(&mut first) || unexpired.peek().is_some() {
             body.clear();
-            binding.by_ref().take(ENDS_A_RECORD).for_each(|end| body.extend_from_slice(&end));
+            unexpired.by_ref().take(MAX_ENDS_PER_RECORD).for_each(|end| body.extend_from_slice(&end));
             let record =
                 Record::Ends(record::Ends { key: self.ends.key(), body: Bytes::copy_from_slice(&body) });
-            made.clear();
-            frame::put(self.mark, &record, &mut made);
-            out.write(&made)?;
+            encoded.clear();
+            frame::encode(self.mark, &record, &mut encoded);
+            out.write(&encoded)?;
         }
         Ok(())
     }
 
-    /// What is still of use of the file, by the places of it: nothing else of it is read, and of that a few
-    /// kilobytes at a time.
-    fn copy_spans(&self, out: &mut Copy) -> Result<(), JournalError> {
-        let of = |(name, live): (&Name, &Live)| {
-            live.spans.iter().map(|span| (Some((*name, live.turn)), *span)).collect::<Vec<_>>()
+    /// Copies the live records by their positions. Nothing else of the file is read, and only a few kilobytes
+    /// at a time are in memory.
+    fn copy_extents(&self, out: &mut CopyWriter) -> Result<(), JournalError> {
+        let extents_of = |(hash, live): (&IdHash, &LiveMessage)| {
+            live.extents.iter().map(|extent| (Some((*hash, live.generation)), *extent)).collect::<Vec<_>>()
         };
-        let mut kept: Vec<(Option<Open>, Span)> = self.live.iter().flat_map(of).collect();
-        let first = kept.iter().map(|(_, span)| span.at).min();
-        // What a gap means for messages that are over is past.
-        let gaps = self.gaps.iter().filter(|gap| first.is_some_and(|first| first < gap.at));
+        let mut kept: Vec<(Option<MessageKey>, Extent)> = self.live.iter().flat_map(extents_of).collect();
+        let first = kept.iter().map(|(_, extent)| extent.offset).min();
+        // A gap concerns only messages that were open before it; it is dropped once all of them are closed.
+        let gaps = self.gaps.iter().filter(|gap| first.is_some_and(|first| first < gap.offset));
         kept.extend(gaps.map(|gap| (None, *gap)));
-        kept.sort_unstable_by_key(|(_, span)| span.at);
-        let mut buffer = vec![0; COPY_BUFFER];
-        for (open, span) in kept {
-            out.begin(open, span.len);
-            let (mut at, mut left) = (span.at, span.len as usize);
+        kept.sort_unstable_by_key(|(_, extent)| extent.offset);
+        let mut buffer = vec![0; COPY_BUFFER_BYTES];
+        for (key, extent) in kept {
+            out.start_record(key, extent.len);
+            let (mut at, mut left) = (extent.offset, extent.len as usize);
             while left > 0 {
-                let part = left.min(COPY_BUFFER);
+                let part = left.min(COPY_BUFFER_BYTES);
                 self.file.read_exact_at(&mut buffer[..part], at)?;
                 out.write(&buffer[..part])?;
                 (at, left) = (at + part as u64, left - part);
@@ -536,82 +562,89 @@
         Ok(())
     }
 
-    /// What is still of use of a text that is damaged, or of the first version.
-    fn copy_pieces(&self, out: &mut Copy) -> Result<(), JournalError> {
-        let (_, mut pieces) = frame::read(Window::new(self.file.try_clone()?, self.len, CHUNK))?;
-        // Whether a message that is still open has been kept so far: what a gap means for others is past.
-        let mut open = false;
-        let mut made = Vec::new();
-        while let Some(piece) = pieces.piece()? {
-            let (record, fresh) = match piece {
-                Piece::Record { record, .. } => (record, false),
-                Piece::Damaged { .. } => (Record::Gap, true),
-                Piece::Torn { .. } => continue,
+    /// Copies the live records of a file that is damaged or has the first format version, by reading all of
+    /// its entries.
+    fn copy_entries(&self, out: &mut CopyWriter) -> Result<(), JournalError> {
+        let (_, mut entries) = frame::read(Window::new(self.file.try_clone()?, self.len, READ_CHUNK_BYTES))?;
+        // Whether a live message has been copied so far. A gap that is already on record concerns no message
+        // if not.
+        let mut has_open = false;
+        let mut encoded = Vec::new();
+        while let Some(entry) = entries.next_entry()? {
+            let (record, is_new_gap) = match entry {
+                Entry::Record { record, .. } => (record, false),
+                Entry::Damaged { .. } => (Record::Gap, true),
+                Entry::Torn { .. } => continue,
             };
-            let of = record.id().and_then(|id| {
-                let name = self.ends.name(id);
-                self.live.get(&name).map(|live| (name, live.turn))
+            let key = record.id().and_then(|id| {
+                let hash = self.ends.hash(id);
+                self.live.get(&hash).map(|live| (hash, live.generation))
             });
             let keep = match &record {
                 Record::Closed(..) | Record::Ends(_) => false,
-                Record::Gap => open || fresh,
-                _ => of.is_some(),
+                Record::Gap => has_open || is_new_gap,
+                _ => key.is_some(),
             };
             if !keep {
                 continue;
             }
-            open |= matches!(record, Record::Accepted(_));
-            made.clear();
-            frame::put(self.mark, &record, &mut made);
-            out.begin(of, made.len() as u32);
-            out.write(&made)?;
+            has_open |= matches!(record, Record::Accepted(_));
+            encoded.clear();
+            frame::encode(self.mark, &record, &mut encoded);
+            out.start_record(key, encoded.len() as u32);
+            out.write(&encoded)?;
         }
         Ok(())
     }
 }
 
-/// What a journal hands on to others.
-pub(crate) struct Carried {
+/// The contents of a segment that is migrated.
+pub(crate) struct SegmentContents {
     pub(crate) open: Vec<OpenMessage>,
     pub(crate) orphans: Vec<(String, NoticeEnd)>,
-    /// Ends that bind, as they stand on disk, and the key of their hashes.
+    /// Unexpired ends as encoded on disk.
     ends: Vec<u8>,
-    key: ends::Key,
-    /// Held until what it holds stands elsewhere.
+    /// Hash key of the ends.
+    key: ends::HashKey,
+    /// Keeps the segment locked until its contents are stored elsewhere.
     _journal: Journal,
 }
 
-/// Takes out all that a journal holds.
-pub(crate) fn carry(folder: &Path, options: Options, now: u64) -> Result<Carried, JournalError> {
-    // Its own bound may be another: nothing is written to it here but what damage demands.
+/// Reads the contents of a segment, which stays locked until they are dropped.
+pub(crate) fn read_segment(
+    folder: &Path,
+    options: Options,
+    now: u64,
+) -> Result<SegmentContents, JournalError> {
+    // The segment may have been written with another size limit. Only repairs of damage write to it here.
     let (journal, recovered) = Journal::open(folder, options, now)?;
-    let ends = journal.ends.binding(now).flatten().collect();
+    let ends = journal.ends.encode_unexpired(now).flatten().collect();
     let key = journal.ends.key();
-    Ok(Carried { open: recovered.open, orphans: recovered.orphans, ends, key, _journal: journal })
+    Ok(SegmentContents { open: recovered.open, orphans: recovered.orphans, ends, key, _journal: journal })
 }
 
-/// Makes a journal that holds these messages, and the ends of all that are handed on. Those have one key, except
-/// where a layout was made by hand.
-pub(crate) fn plant<'a>(
+/// Creates a segment with these messages, and with the ends of all migrated segments. All of them have the
+/// same hash key unless a layout was assembled by hand.
+pub(crate) fn create_segment<'a>(
     folder: &Path,
     options: Options,
     now: u64,
-    from: &[Carried],
+    sources: &[SegmentContents],
     open: &[&OpenMessage],
     orphans: impl Iterator<Item = &'a (String, NoticeEnd)>,
 ) -> Result<(), JournalError> {
     fs::create_dir_all(folder)?;
     let (mut journal, _) = Journal::open(folder, options, now)?;
-    if let Some(first) = from.first() {
+    if let Some(first) = sources.first() {
         journal.ends = Ends::new(first.key);
     }
-    for carried in from {
-        if carried.key != journal.ends.key() {
-            return Err(io::Error::other("segments whose ends are hashed under different keys").into());
+    for source in sources {
+        if source.key != journal.ends.key() {
+            return Err(io::Error::other("the ends of the segments have different hash keys").into());
         }
-        journal.ends.take_up(&carried.ends, now);
+        journal.ends.insert_encoded(&source.ends, now);
     }
-    // First of all: the ends stand before whatever is hashed with their key.
+    // Written before anything else: the ends precede all records whose ids are hashed with their key.
     journal.compact(now)?;
     let mut records = Vec::new();
     for message in open {
@@ -624,7 +657,7 @@
             }
         }
         if message.in_doubt {
-            // It may have run at no known time.
+            // The message may have run at an unknown time.
             records.push(Record::Sent(id.clone(), message.attempts.len(), 0, String::new()));
         }
         records.extend(
@@ -632,7 +665,7 @@
                 .pending_notice
                 .map(|end| Record::NoticePending(id.clone(), end, message.accepted.deadline)),
         );
-        if records.len() >= RECORDS_A_WRITE {
+        if records.len() >= RECORDS_PER_WRITE {
             journal.commit(&records, now)?;
             records.clear();
         }
@@ -648,69 +681,73 @@
     Ok(())
 }
 
-/// A new file that is being written.
-struct Copy<'a> {
+/// Writer of a new file during a rewrite.
+struct CopyWriter<'a> {
     out: BufWriter<&'a File>,
     len: u64,
-    /// Bytes that it may take beside the old one.
-    most: u64,
-    placed: Vec<(Open, Span)>,
-    gaps: Vec<Span>,
+    /// Maximum length that fits within the size limit beside the old file.
+    max_len: u64,
+    /// Positions of records of open messages.
+    extents: Vec<(MessageKey, Extent)>,
+    /// Positions of gap records.
+    gaps: Vec<Extent>,
 }
 
-impl Copy<'_> {
-    /// Its length, and where its records stand. What is not written through after a failure goes with the file.
-    fn end(self) -> (u64, Vec<(Open, Span)>, Vec<Span>) {
-        (self.len, self.placed, self.gaps)
+impl CopyWriter<'_> {
+    /// Returns the length, and the positions of records and gaps. After a failure some output may still be
+    /// buffered; the file is removed then.
+    fn finish(self) -> (u64, Vec<(MessageKey, Extent)>, Vec<Extent>) {
+        (self.len, self.extents, self.gaps)
     }
 
-    /// What is written next is a record of this message, or a gap.
-    fn begin(&mut self, open: Option<Open>, len: u32) {
-        let span = Span { at: self.len, len };
-        match open {
-            Some(open) => self.placed.push((open, span)),
-            None => self.gaps.push(span),
+    /// Registers the position of the record written next: a record of the message with this key, or a gap.
+    fn start_record(&mut self, key: Option<MessageKey>, len: u32) {
+        let extent = Extent { offset: self.len, len };
+        match key {
+            Some(key) => self.extents.push((key, extent)),
+            None => self.gaps.push(extent),
         }
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
         self.len += bytes.len() as u64;
-        if self.len > self.most {
+        if self.len > self.max_len {
             return Err(JournalError::Full);
         }
         Ok(self.out.write_all(bytes)?)
     }
 }
 
-/// Drawn by the standard library's seed for hash tables, which nobody outside can foretell.
+/// Draws the mark of a new file from the standard library's seed for hash tables, which can't be predicted
+/// from outside.
 fn new_mark() -> Mark {
     let drawn = RandomState::new().hash_one(std::process::id());
     let [a, b, c, d, ..] = drawn.to_le_bytes();
-    // The high bit keeps it apart from any text.
+    // With the high bit set in the first byte, the mark can't occur in ASCII text.
     Mark([a | 0x80, b, c, d])
 }
 
-/// Drawn in the same way.
-fn new_key() -> ends::Key {
+/// Draws a hash key in the same way as [`new_mark`].
+fn new_key() -> ends::HashKey {
     [1u8, 2].map(|half| RandomState::new().hash_one(half))
 }
 
-/// Adds bytes that can't be read to a file beside the journal. They are worth no failure.
-fn keep_aside(path: &Path, from: &File, at: u64, size: usize, most: u64) {
-    let kept = OpenOptions::new().append(true).create(true).open(path).and_then(|mut file| {
-        let room = most.saturating_sub(file.metadata()?.len());
+/// Appends damaged bytes of the journal to a separate file of at most `max` bytes. A failure is only logged.
+fn save_damaged_bytes(path: &Path, from: &File, at: u64, size: usize, max: u64) {
+    let saved = OpenOptions::new().append(true).create(true).open(path).and_then(|mut file| {
+        let room = max.saturating_sub(file.metadata()?.len());
         let (mut at, mut left) = (at, size.min(room as usize));
-        let mut buffer = vec![0; left.min(CHUNK)];
+        let mut buffer = vec![0; left.min(READ_CHUNK_BYTES)];
         while left > 0 {
-            let part = left.min(CHUNK);
+            let part = left.min(READ_CHUNK_BYTES);
             from.read_exact_at(&mut buffer[..part], at)?;
             file.write_all(&buffer[..part])?;
             (at, left) = (at + part as u64, left - part);
         }
         Ok(())
     });
-    if let Err(e) = kept {
-        tracing::error!("journal: damaged bytes are not kept aside: {e}");
+    if let Err(e) = saved {
+        tracing::error!("journal: cannot save damaged bytes to {}: {e}", path.display());
     }
 }
 
@@ -749,10 +786,10 @@
 
     fn open(folder: &Folder, limit: u64) -> (Journal, Recovered) {
         let options = Options { max_bytes: limit, durability: Durability::Process };
-        Journal::open(&folder.0, options, NOW).expect("it opens")
+        Journal::open(&folder.0, options, NOW).expect("the journal opens")
     }
 
-    fn open_of(records: &[Record]) -> Vec<OpenMessage> {
+    fn open_messages(records: &[Record]) -> Vec<OpenMessage> {
         let mut replay = Replay::default();
         records.iter().for_each(|r| replay.apply(r.clone()));
         replay.finish().0
@@ -762,31 +799,32 @@
         Record::Closed(id.into(), End::Delivered, NOW + 1000)
     }
 
-    /// Records as an engine writes them: each message is taken on once, its attempts go out one after another.
+    /// Records as an engine writes them: each message is accepted once, and its attempts are sent one after
+    /// another.
     fn history() -> impl Strategy<Value = Vec<Record>> {
         let steps = proptest::collection::vec((0..4usize, 0..4u8, any::<bool>()), 1..30);
         steps.prop_map(|steps| {
-            // By message: attempts so far, whether one is out, whether it is over.
-            let mut known: [Option<(usize, bool, bool)>; 4] = [None; 4];
+            // By message: number of attempts, whether one is in flight, whether the message is closed.
+            let mut messages: [Option<(usize, bool, bool)>; 4] = [None; 4];
             let mut records = Vec::new();
             for (n, step, flag) in steps {
                 let id = format!("m{n}");
-                match (&mut known[n], step) {
+                match (&mut messages[n], step) {
                     (unknown @ None, _) => {
                         *unknown = Some((0, false, false));
                         records.push(accepted(&id, vec![n as u8; 10]));
                     }
                     (Some((.., true)), _) => {}
-                    (Some((attempts, out @ false, _)), 0 | 1) => {
+                    (Some((attempts, in_flight @ false, _)), 0 | 1) => {
                         records.push(Record::Sent(id, *attempts, NOW, "hall-a".into()));
-                        (*attempts, *out) = (*attempts + 1, true);
+                        (*attempts, *in_flight) = (*attempts + 1, true);
                     }
-                    (Some((attempts, out @ true, _)), 0 | 1) => {
+                    (Some((attempts, in_flight @ true, _)), 0 | 1) => {
                         records.push(Record::Ended(id, *attempts - 1, flag));
-                        *out = false;
+                        *in_flight = false;
                     }
-                    (Some((_, _, over)), 2) => {
-                        *over = true;
+                    (Some((_, _, is_closed)), 2) => {
+                        *is_closed = true;
                         records.push(closed(&id));
                     }
                     (Some(_), _) => records.push(Record::NoticePending(id, NoticeEnd::GivenUp, NOW + 1000)),
@@ -799,42 +837,43 @@
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(128))]
 
-        /// Opening again, with or without compacting, changes nothing of what is open.
+        /// Reopening a journal, with or without a compaction before, recovers the same open messages.
         #[test]
-        fn what_was_written_is_replayed(
+        fn replays_all_written_records(
             records in proptest::collection::vec(record(), 0..20), compact in any::<bool>(), disk in any::<bool>()
         ) {
             let folder = Folder::new();
             let durability = if disk { Durability::Disk } else { Durability::Process };
             let options = Options { max_bytes: LIMIT, durability };
-            let (mut journal, _) = Journal::open(&folder.0, options, NOW).expect("it opens");
+            let (mut journal, _) = Journal::open(&folder.0, options, NOW).expect("the journal opens");
             for part in records.chunks(3) {
-                journal.commit(part, NOW).expect("there is room");
+                journal.commit(part, NOW).expect("there is space");
             }
             if compact {
-                journal.compact(NOW).expect("there is room");
+                journal.compact(NOW).expect("there is space");
             }
             drop(journal);
             let (_, recovered) = open(&folder, LIMIT);
-            prop_assert_eq!(recovered.open, open_of(&records));
+            prop_assert_eq!(recovered.open, open_messages(&records));
             prop_assert!(recovered.damage.is_empty());
         }
 
-        /// However a file is damaged: what opens it says so, twice opened is as once, and a message of which a
-        /// record may be lost is never taken for one that never ran.
+        /// Damages a file at a random position. The first open reports the damage, a second one finds the
+        /// same messages and no damage, and a message that may have lost a record is never treated as one
+        /// that did not run.
         #[test]
-        fn damage_is_told_once_and_leaves_no_certainty(
+        fn reports_damage_once_and_keeps_affected_messages_in_doubt(
             records in history(), at in any::<prop::sample::Index>(), len in 1..30usize
         ) {
             let folder = Folder::new();
             let (mut journal, _) = open(&folder, LIMIT);
-            journal.commit(&records, NOW).expect("there is room");
+            journal.commit(&records, NOW).expect("there is space");
             drop(journal);
-            let mut text = fs::read(folder.file()).expect("it is there");
-            let at = at.index(text.len());
-            let to = text.len().min(at + len);
-            text[at..to].iter_mut().for_each(|b| *b ^= 0xff);
-            fs::write(folder.file(), &text).expect("it is writable");
+            let mut bytes = fs::read(folder.file()).expect("the file exists");
+            let at = at.index(bytes.len());
+            let to = bytes.len().min(at + len);
+            bytes[at..to].iter_mut().for_each(|b| *b ^= 0xff);
+            fs::write(folder.file(), &bytes).expect("the file is writable");
             let (journal, first) = open(&folder, LIMIT);
             prop_assert!(!first.damage.is_empty());
             drop(journal);
@@ -842,106 +881,109 @@
             prop_assert_eq!(&second.damage, &[]);
             let ids = |r: &Recovered| r.open.iter().map(|o| (o.accepted.id.clone(), o.in_doubt)).collect::<Vec<_>>();
             prop_assert_eq!(ids(&first), ids(&second));
-            // Whoever was open before the file's end and lost a record to the damage is in doubt, owed an end, or
-            // was never heard of.
-            let told = |id: &String| first.orphans.iter().any(|(o, _)| o == id);
-            for whole in open_of(&records) {
-                let id = &whole.accepted.id;
-                let Some(now) = first.open.iter().find(|o| o.accepted.id == *id) else {
+            // A message that was open before the damage and lost a record is in doubt, an orphan, or unknown.
+            let is_orphan = |id: &String| first.orphans.iter().any(|(o, _)| o == id);
+            for before in open_messages(&records) {
+                let id = &before.accepted.id;
+                let Some(after) = first.open.iter().find(|o| o.accepted.id == *id) else {
                     let named = records.iter().filter(|r| r.id() == Some(id)).count();
-                    // One later record may be damaged too.
-                    prop_assert!(told(id) || named <= 2, "{:?}", whole);
+                    // A later record of the message may be damaged as well.
+                    prop_assert!(is_orphan(id) || named <= 2, "{:?}", before);
                     continue;
                 };
                 let risks = |o: &OpenMessage| o.attempts.iter().filter(|a| a.may_have_run).count();
-                prop_assert!(risks(&whole) <= risks(now) || now.in_doubt, "{:?} {:?}", whole, now);
-                prop_assert!(whole.pending_notice == now.pending_notice || now.in_doubt, "{:?} {:?}", whole, now);
+                prop_assert!(risks(&before) <= risks(after) || after.in_doubt, "{:?} {:?}", before, after);
+                prop_assert!(
+                    before.pending_notice == after.pending_notice || after.in_doubt,
+                    "{:?} {:?}", before, after
+                );
             }
-            // One that was over and seems open again is in doubt: nothing unsafe is sent again for it.
-            let over = |id: &str| !open_of(&records).iter().any(|o| o.accepted.id == id);
-            prop_assert!(first.open.iter().all(|o| !over(&o.accepted.id) || o.in_doubt));
+            // A closed message that appears open again is in doubt, so that an unsafe message is not
+            // repeated.
+            let was_closed = |id: &str| !open_messages(&records).iter().any(|o| o.accepted.id == id);
+            prop_assert!(first.open.iter().all(|o| !was_closed(&o.accepted.id) || o.in_doubt));
         }
 
-        /// A compaction that was cut off at any byte leaves the old file as it was.
+        /// A compaction interrupted at any byte leaves the old file in force and unchanged.
         #[test]
-        fn a_compaction_cut_off_anywhere_changes_nothing(
+        fn an_interrupted_compaction_changes_nothing(
             records in proptest::collection::vec(record(), 0..12), cut in any::<prop::sample::Index>()
         ) {
             let folder = Folder::new();
             let (mut journal, _) = open(&folder, LIMIT);
-            journal.commit(&records, NOW).expect("there is room");
-            let before = fs::read(folder.file()).expect("it is there");
-            journal.compact(NOW).expect("there is room");
+            journal.commit(&records, NOW).expect("there is space");
+            let before = fs::read(folder.file()).expect("the file exists");
+            journal.compact(NOW).expect("there is space");
             drop(journal);
-            let mut new = fs::read(folder.file()).expect("it is there");
+            let mut new = fs::read(folder.file()).expect("the file exists");
             new.truncate(cut.index(new.len() + 1));
-            fs::write(folder.file(), before).expect("it is writable");
-            fs::write(folder.0.join("journal.new"), new).expect("it is writable");
+            fs::write(folder.file(), before).expect("the file is writable");
+            fs::write(folder.0.join("journal.new"), new).expect("the file is writable");
             let (_, recovered) = open(&folder, LIMIT);
-            prop_assert_eq!(recovered.open, open_of(&records));
+            prop_assert_eq!(recovered.open, open_messages(&records));
             prop_assert!(!folder.0.join("journal.new").exists());
         }
     }
 
     #[test]
-    fn compacting_keeps_the_files_small_and_drops_what_is_over() {
+    fn compaction_bounds_the_file_size_and_drops_closed_messages() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, LIMIT);
-        journal.commit(&[accepted("kept", vec![1; 100])], NOW).expect("there is room");
+        journal.commit(&[accepted("kept", vec![1; 100])], NOW).expect("there is space");
         for n in 0..2000u64 {
             let id = format!("m{n}");
-            journal.commit(&[accepted(&id, vec![0; 400])], NOW + n).expect("there is room");
+            journal.commit(&[accepted(&id, vec![0; 400])], NOW + n).expect("there is space");
             journal.enqueue(&Record::Closed(id, End::Delivered, NOW + n + 10), NOW + n);
-            assert!(journal.len <= COMPACT_FROM + 1024);
+            assert!(journal.len <= MIN_COMPACT_BYTES + 1024);
         }
-        journal.commit(&[], NOW).expect("there is room");
-        let size = fs::metadata(&journal.path).expect("it is there").len();
+        journal.commit(&[], NOW).expect("there is space");
+        let size = fs::metadata(&journal.path).expect("the file exists").len();
         assert_eq!(size, journal.len);
         drop(journal);
         let options = Options { max_bytes: LIMIT, durability: Durability::Process };
-        let (again, recovered) = Journal::open(&folder.0, options, NOW + 2005).expect("it opens");
+        let (reopened, recovered) = Journal::open(&folder.0, options, NOW + 2005).expect("the journal opens");
         assert_eq!(recovered.open.iter().map(|o| o.accepted.id.as_str()).collect::<Vec<_>>(), ["kept"]);
-        assert!(again.end_of("m1999").is_some() && again.end_of("m1000").is_none());
+        assert!(reopened.end_of("m1999").is_some() && reopened.end_of("m1000").is_none());
     }
 
     #[test]
-    fn a_full_journal_keeps_room_for_the_ends_of_what_it_took() {
+    fn a_full_journal_has_space_for_the_ends_of_accepted_messages() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, 40_000);
-        let mut held = Vec::new();
+        let mut ids = Vec::new();
         while journal.has_room(1, 500, NOW) {
-            let id = format!("m{}", held.len());
-            journal.commit(&[accepted(&id, vec![0; 500])], NOW).expect("it said that there is room");
-            held.push(id);
+            let id = format!("m{}", ids.len());
+            journal.commit(&[accepted(&id, vec![0; 500])], NOW).expect("has_room returned true");
+            ids.push(id);
         }
-        assert!(held.len() > 2);
-        for id in held {
+        assert!(ids.len() > 2);
+        for id in ids {
             for attempt in 0..3 {
                 journal
                     .commit(&[Record::Sent(id.clone(), attempt, NOW, "hall-a".into())], NOW)
-                    .expect("kept room");
+                    .expect("space is reserved");
                 journal.enqueue(&Record::Ended(id.clone(), attempt, false), NOW);
             }
             journal.enqueue(&Record::Closed(id, End::Failed, 0), NOW);
-            journal.commit(&[], NOW).expect("kept room");
+            journal.commit(&[], NOW).expect("space is reserved");
         }
         assert!(journal.has_room(1, 500, NOW));
     }
 
     #[test]
-    fn near_the_bound_it_is_not_compacted_for_each_message() {
+    fn is_not_compacted_for_each_message_near_the_size_limit() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, 400_000);
         let (mut compacted, mut refused) = (0, 0);
         for n in 0..2000 {
             let (id, len) = (format!("m{n}"), journal.len);
             if journal.has_room(1, 500, NOW) {
-                journal.commit(&[accepted(&id, vec![0; 500])], NOW).expect("it said that there is room");
+                journal.commit(&[accepted(&id, vec![0; 500])], NOW).expect("has_room returned true");
             } else {
                 refused += 1;
-                // One ends for each that is refused: there is always a little to free.
+                // One message ends for each one refused, so that compaction could always free a little.
                 journal.enqueue(&Record::Closed(format!("m{refused}"), End::Failed, 0), NOW);
-                journal.commit(&[], NOW).expect("kept room");
+                journal.commit(&[], NOW).expect("space is reserved");
             }
             compacted += usize::from(journal.len < len);
         }
@@ -952,34 +994,35 @@
     }
 
     #[test]
-    fn a_failed_write_leaves_nothing_behind_but_the_backlog() {
+    fn a_failed_write_keeps_only_the_backlog() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, LIMIT);
-        journal.commit(&[accepted("a", vec![])], NOW).expect("there is room");
+        journal.commit(&[accepted("a", vec![])], NOW).expect("there is space");
         journal.limit = journal.len;
         journal.enqueue(&closed("a"), NOW);
         assert!(journal.commit(&[accepted("b", vec![])], NOW).is_err());
         assert!(!journal.is_flushed());
         journal.limit = LIMIT;
-        journal.commit(&[], NOW).expect("there is room again");
+        journal.commit(&[], NOW).expect("there is space again");
         assert!(journal.is_flushed());
         drop(journal);
-        let (again, recovered) = open(&folder, LIMIT);
-        assert!(recovered.open.is_empty() && again.end_of("a").is_some());
+        let (reopened, recovered) = open(&folder, LIMIT);
+        assert!(recovered.open.is_empty() && reopened.end_of("a").is_some());
     }
 
-    /// A write that stops short, and a file that can't be cut back at once: nothing later hides behind the rest.
+    /// After a short write whose remains could not be truncated at once, they must be cut off before the next
+    /// turn is written: otherwise its records would follow a torn frame.
     #[test]
-    fn the_rest_of_a_short_write_is_cut_off_before_the_next_one() {
+    fn cuts_off_the_remains_of_a_short_write_before_the_next_one() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, LIMIT);
-        journal.commit(&[accepted("a", vec![])], NOW).expect("there is room");
-        // What a short write leaves behind, with the cutting back still to be done.
-        let mut half = Vec::new();
-        frame::put(journal.mark, &accepted("b", vec![0; 50]), &mut half);
-        journal.file.write_all(&half[..half.len() / 2]).expect("it is writable");
-        journal.unclean = true;
-        journal.commit(&[accepted("c", vec![])], NOW).expect("there is room");
+        journal.commit(&[accepted("a", vec![])], NOW).expect("there is space");
+        // The state after a short write that has not been truncated yet.
+        let mut frame_bytes = Vec::new();
+        frame::encode(journal.mark, &accepted("b", vec![0; 50]), &mut frame_bytes);
+        journal.file.write_all(&frame_bytes[..frame_bytes.len() / 2]).expect("the file is writable");
+        journal.tail_unknown = true;
+        journal.commit(&[accepted("c", vec![])], NOW).expect("there is space");
         drop(journal);
         let (_, recovered) = open(&folder, LIMIT);
         let ids: Vec<&str> = recovered.open.iter().map(|o| o.accepted.id.as_str()).collect();
@@ -987,7 +1030,7 @@
     }
 
     #[test]
-    fn a_second_process_is_kept_out() {
+    fn refuses_to_open_a_locked_journal() {
         let folder = Folder::new();
         let (journal, _) = open(&folder, LIMIT);
         let options = Options { max_bytes: LIMIT, durability: Durability::Process };
@@ -996,31 +1039,32 @@
         assert!(Journal::open(&folder.0, options, NOW).is_ok());
     }
 
-    /// A lost `Accepted` whose id a later record names is owed its end, and stays so over restarts until told.
+    /// If an `Accepted` record is lost and a later record names the message, a notice is due for it, over all
+    /// restarts until the message is closed.
     #[test]
-    fn a_message_whose_content_is_lost_is_owed_its_end() {
+    fn keeps_a_notice_pending_for_a_message_whose_content_is_lost() {
         let folder = Folder::new();
         let (mut journal, _) = open(&folder, LIMIT);
-        journal.commit(&[accepted("a", vec![7; 200]), accepted("b", vec![])], NOW).expect("there is room");
-        journal.commit(&[Record::Sent("a".into(), 0, NOW, "hall-a".into())], NOW).expect("there is room");
+        journal.commit(&[accepted("a", vec![7; 200]), accepted("b", vec![])], NOW).expect("there is space");
+        journal.commit(&[Record::Sent("a".into(), 0, NOW, "hall-a".into())], NOW).expect("there is space");
         drop(journal);
-        let mut text = fs::read(folder.file()).expect("it is there");
-        let body = text.windows(20).position(|w| w == [7; 20]).expect("the body stands there");
-        text[body] = 8;
-        fs::write(folder.file(), text).expect("it is writable");
+        let mut bytes = fs::read(folder.file()).expect("the file exists");
+        let body = bytes.windows(20).position(|w| w == [7; 20]).expect("the body is in the file");
+        bytes[body] = 8;
+        fs::write(folder.file(), bytes).expect("the file is writable");
         for _ in 0..3 {
             let (journal, recovered) = open(&folder, LIMIT);
-            let told = |r: &Recovered| -> Vec<String> {
+            let pending = |r: &Recovered| -> Vec<String> {
                 let open =
                     r.open.iter().filter(|o| o.pending_notice.is_some()).map(|o| o.accepted.id.clone());
                 r.orphans.iter().map(|(id, _)| id.clone()).chain(open).collect()
             };
-            assert_eq!(told(&recovered), ["a"]);
+            assert_eq!(pending(&recovered), ["a"]);
             assert_eq!(journal.end_of("a"), None);
         }
         let (mut journal, _) = open(&folder, LIMIT);
         journal.enqueue(&Record::Closed("a".into(), End::Failed, 0), NOW);
-        journal.commit(&[], NOW).expect("there is room");
+        journal.commit(&[], NOW).expect("there is space");
         drop(journal);
         let (_, recovered) = open(&folder, LIMIT);
         assert!(recovered.orphans.is_empty() && recovered.open.len() == 1);
