--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -3,11 +3,11 @@
 //! ```text
 //! file   = magic (8)  mark (4)  crc32 of both (4)  frame*
 //! frame  = mark (4)  length (4)  crc32 of payload (4)  crc32 of these 12 bytes (4)  payload
-//! payload = length of head (4)  head (JSON)  body (as it came)
+//! payload = length of head (4)  head (JSON)  body (unencoded)
 //! ```
 //!
 //! The mark is a random synchronization marker, drawn for each file. A reader that has lost its position
-//! looks for the next intact frame with that mark. Bodies come from outside; since nobody outside knows the
+//! looks for the next intact frame with that mark. Bodies come from outside; since no sender can know the
 //! mark, none of them can hold a frame that would be read as a record. The frame head has a checksum of its
 //! own. With it, a frame whose payload is damaged can be skipped by its length, and a frame cut off by the
 //! end of the file (torn: its turn had no effect outside the process) can be distinguished from one whose
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -47,6 +47,7 @@
     open: HashMap<String, (usize, OpenMessage)>,
     /// Messages whose content was lost in a gap, with the end that is due.
     orphans: HashMap<String, NoticeEnd>,
+    /// Whether any records have been lost so far.
     gap: bool,
     accepted_count: usize,
     record_count: usize,
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -123,6 +123,7 @@
     file: File,
     mark: Mark,
     len: u64,
+    /// Maximum total size of the files in bytes, less the size of the file of damaged bytes.
     limit: u64,
     durability: Durability,
     /// The open messages.
--- a/crates/routes/src/diagnostic.rs
+++ b/crates/routes/src/diagnostic.rs
@@ -5,7 +5,7 @@
 /// A position in a routing document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
-    /// File name as passed to [`crate::parse`].
+    /// File name as passed to [`crate::parse()`].
     pub file: String,
     /// Line number from 1; 0 for the file as a whole.
     pub line: usize,
