--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,337 +1,340 @@
 //! The interface of the decision module: settings, events and actions. No decision is made here.
 //!
-//! Time is integer microseconds on the host's own clock; only differences matter.
+//! Times are integer microseconds on the host's own clock; only differences between them matter.
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
-/// A message, numbered by the host; never used twice in the life of a [`crate::Balancer`].
+/// Number of a message, assigned by the host and never reused within the lifetime of a [`crate::Balancer`].
 pub type MessageId = u64;
-/// An endpoint, as the endpoint list numbers it.
+/// Number of an endpoint in the endpoint list.
 pub type EndpointId = u64;
-/// An outside receiver that owns one or more endpoints.
+/// Number of a destination: an external receiver that owns one or more endpoints.
 pub type DestId = u64;
 
-/// What a repeat of a message does.
+/// The effect of delivering a message more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// Repeated delivery is harmless.
     Safe,
-    /// The destination drops repeats for `life` from the first attempt that may have run.
+    /// The destination deduplicates by idempotency key for `life` after the first attempt that may have run.
     Keyed {
         /// How long the destination remembers the key.
         life: Micros,
-        /// Only endpoints of the same zone share the memory of keys.
+        /// True if keys are remembered per zone: only endpoints of the same zone share them.
         per_zone: bool,
     },
-    /// It must never take effect twice.
+    /// The message must never take effect twice.
     Unsafe,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What a repeat does.
+    /// Effect of a repeated delivery.
     pub effect: Effect,
-    /// Delivered within this time it earns its full worth; 0 where there is no aim.
+    /// A message delivered within this time earns its full value; 0 where there is no such target.
     pub target_latency: Micros,
-    /// How long it may be delivered after it was first handed in.
+    /// Time after submission until which a message may be delivered.
     pub deadline: Micros,
-    /// Worth of one message.
+    /// Value of one message that is delivered within the target latency.
     pub value: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the value that is left at the deadline.
     pub deadline_value_share: f64,
-    /// Messages with the same key go one at a time, in the order taken.
+    /// True if messages with the same key are delivered one at a time, in the order of their submission.
     pub ordered: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DestKind {
-    /// The endpoints of a destination are separate routes with limits and outages of their own.
+    /// True if each endpoint of a destination has its own limit and its own outages.
     pub independent_endpoints: bool,
-    /// Messages that may travel as one call.
+    /// Maximum number of messages that one call may carry.
     pub max_batch: usize,
 }
 
-/// A customer with a share of the service.
+/// A customer with a quota of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Messages a second, over all senders, that count in full.
+    /// Messages per second, over all senders, that count at full value.
     pub quota: f64,
 }
 
-/// How worth falls once the aim has passed.
+/// How the value of a message falls after the target latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to [`Class::deadline_value_share`] at the deadline.
     Linear,
-    /// By half with each further aim, but not under the late share.
+    /// By half with each further target latency, but not below [`Class::deadline_value_share`].
     Exponential,
 }
 
-/// What the weights of the endpoint list hold.
+/// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// The weights carry no information.
     Off,
-    /// Calls a second that the destination takes from all senders together.
+    /// Calls per second that the destination accepts from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same as [`Weights::Nominal`], but up to half too high or too low.
     Rough,
 }
 
-/// All that a sender is told at its start.
+/// The settings of a sender, fixed at its start except where an [`Event`] changes them.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of message; events name them by index.
+    /// Classes of messages; events refer to them by index.
     pub classes: Vec<Class>,
-    /// Kinds of destination; list entries name them by index.
+    /// Kinds of destinations; entries of the endpoint list refer to them by index.
     pub kinds: Vec<DestKind>,
-    /// Customers; events name them by index.
+    /// Tenants; events refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Worth of a message beyond its tenant's share, as a part of the usual.
+    /// Factor applied to the value of a message that exceeds its tenant's quota.
     pub over_quota_value_factor: f64,
-    /// How worth falls after the aim.
+    /// How the value of a message falls after the target latency.
     pub decay: Decay,
-    /// The zone of this sender.
+    /// Index of this sender's zone.
     pub zone: usize,
-    /// Senders in all.
+    /// Total number of senders.
     pub senders: usize,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Messages that may be held, sent or not.
+    /// Maximum number of messages held, whether sent or not.
     pub max_held_messages: usize,
-    /// Attempts that a message may have.
+    /// Maximum number of attempts per message.
     pub max_attempts: usize,
-    /// Attempts may be cancelled.
+    /// True if attempts may be cancelled.
     pub may_cancel: bool,
-    /// A message may have a second attempt out beside the first. Decisions never ask for that; hosts whose calls carry
-    /// several messages must not bring it about.
+    /// True if a message may have a second attempt in flight beside the first. Decisions never ask for one; a
+    /// host whose calls carry several messages must not cause one if this is false.
     pub may_overlap_attempts: bool,
-    /// Clients are told how long to wait after a refusal.
+    /// True if a refusal may advise the client how long to wait.
     pub may_send_retry_after: bool,
-    /// The longest wait a client heeds.
+    /// Longest advised wait that clients obey.
     pub max_retry_after: Micros,
-    /// The endpoint list answers only when asked.
+    /// True if the endpoint list is delivered only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// What the list's weights hold.
+    /// Meaning of the weights in the endpoint list.
     pub weights: Weights,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// A connection that is not ready by this time has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// Least time between two turns of the host.
+    /// Minimum time between two turns of the host.
     pub min_turn_interval: Micros,
-    /// A returning destination falls over when sent more than this many times its present capacity.
+    /// A recovering destination becomes overloaded, and fails again, when it is sent more than this multiple
+    /// of its present capacity for [`Settings::overload_duration`].
     pub overload_factor: f64,
-    /// And for this long.
+    /// How long a load above [`Settings::overload_factor`] must last to overload a recovering destination.
     pub overload_duration: Micros,
     /// Share of its capacity that a destination has right after an outage.
     pub initial_capacity_share: f64,
-    /// After this time it has all of it again.
+    /// Time after an outage until the destination has its full capacity again.
     pub warm_up_duration: Micros,
-    /// Rest of an ordered key after an attempt that may still run.
+    /// Time that the next message of an ordered key waits after an attempt that may still be running.
     pub ordered_key_gap: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// Answered with an error; it may have taken effect.
+    /// The destination answered with an error; the message may have taken effect.
     Error,
-    /// Turned away unseen, with the wait that was told, if any.
+    /// The destination refused the message without processing it.
     Full {
-        /// How long nothing may be sent there.
+        /// Time during which nothing may be sent there, if the destination announced one.
         wait: Option<Micros>,
     },
-    /// No answer in time; it may have taken effect or still do so.
+    /// No answer came in time; the message may have taken effect or may still do so.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the message never ran.
     ConnectFailed,
-    /// The connection broke; it may have taken effect.
+    /// The connection broke; the message may have taken effect.
     Reset,
-    /// Answered with what can't be read; it may have taken effect. Says nothing of the destination's health:
-    /// it has worked and answered, and something on the way spoilt that.
+    /// The answer could not be parsed; the message may have taken effect. This says nothing about the health
+    /// of the destination: it processed the call and answered, and the answer was corrupted on its way.
     Malformed,
-    /// Called off; it may have taken effect.
+    /// The attempt was cancelled; the message may have taken effect.
     Cancelled,
-    /// Never sent by the host, for want of a slot or for another reason of its own.
+    /// The host never sent the message, because it had no free slot or for another reason of its own.
     NotSent,
 }
 
 impl Outcome {
-    /// True if the attempt is known never to have run.
+    /// Returns true if the attempt is known never to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a destination tells of its limit.
+/// What a destination reports about its rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitReport {
-    /// Calls a second that the limit allows; `None` where there is no limit.
+    /// Calls per second that the limit allows; `None` where there is no limit.
     pub limit: Option<f64>,
-    /// Share of the limit's allowance that is left (0 to 1); `None` where that is not told or there is no limit.
+    /// Share of the limit's allowance that remains (0 to 1); `None` where it is not reported or there is no
+    /// limit.
     pub remaining: Option<f64>,
 }
 
-/// What the list says of an endpoint.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Listed; nothing is said of its health.
+    /// The endpoint is in service; its health is not implied.
     Serving,
-    /// Nothing new may go there.
+    /// The endpoint accepts no new calls.
     Draining,
-    /// Gone.
+    /// The endpoint no longer exists.
     Deleted,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// Number of the endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// Destination that owns the endpoint.
     pub dest: DestId,
-    /// Index of its zone.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// Index of its kind.
+    /// Index of the destination's kind.
     pub kind: usize,
-    /// Listed, draining or gone.
+    /// State of the endpoint.
     pub listing: Listing,
-    /// See [`Weights`].
+    /// Weight of the endpoint; see [`Weights`].
     pub weight: f64,
 }
 
-/// A message handed in.
+/// A message submitted by the host.
 #[derive(Clone, Debug)]
 pub struct SubmittedMessage {
-    /// Its number.
+    /// Number of the message.
     pub id: MessageId,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// What it is about, where the class keeps an order.
+    /// Key whose messages are delivered in order, if the class is ordered.
     pub key: Option<String>,
-    /// The client stops waiting then.
+    /// Time at which the client stops waiting.
     pub expires_at: Micros,
-    /// The destination.
+    /// Destination of the message.
     pub dest: DestId,
-    /// What became of it before this start; nothing for a message that is new.
+    /// What happened to the message before this process started; empty for a new message.
     pub history: MessageHistory,
 }
 
-/// What is known of a message that an earlier process of this sender had taken on.
+/// What is known of a message that an earlier process of this sender had accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageHistory {
-    /// Attempts that were made; further ones are numbered from here.
+    /// Number of attempts already made; further ones are numbered from here.
     pub attempts: usize,
     /// When the first attempt that may have run was sent, and the zone of its endpoint.
     pub first_possible_run: Option<(Micros, usize)>,
-    /// It was taken on: it is tried, whatever the list says so far.
+    /// True if the message was accepted: it is then attempted even if its destination is not listed yet.
     pub was_accepted: bool,
 }
 
-/// The end of an attempt. Attempts of a message are numbered from 0 in the order of their sends.
+/// The end of an attempt. Attempts of a message are numbered from 0 in the order in which they are sent.
 #[derive(Clone, Debug)]
 pub struct EndedAttempt {
-    /// The message.
+    /// Number of the message.
     pub id: MessageId,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The message is over; nothing more is owed for it.
+    /// True if the message is finished, so that no answer is owed for it any more.
     pub finished: bool,
-    /// What the destination told of its limit.
+    /// What the destination reported about its rate limit.
     pub report: Option<LimitReport>,
-    /// How long nothing may be sent there, where that was told beside another outcome than
+    /// Time during which nothing may be sent there, where it was announced with an outcome other than
     /// [`Outcome::Full`], which carries its own.
     pub wait: Option<Micros>,
 }
 
-/// What happened.
+/// An input to the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// What each tenant may have from now on of what counts in full (messages a second), where several senders of
-    /// one process share it.
+    /// New quotas (messages per second at full value), one per tenant, for this sender, where several senders
+    /// of one process share the quotas.
     Quotas(Vec<f64>),
-    /// So many senders share from now on what is told for all: [`Settings::senders`] as it is now.
+    /// New number of senders that share the limits announced for all of them; replaces [`Settings::senders`].
     #[cfg(feature = "senders")]
     Senders(usize),
-    /// A message was handed in; it is owed one final answer.
+    /// A message was submitted; it is owed one final answer.
     Submit(SubmittedMessage),
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// A streamed answer has begun: the attempt belongs to the client now.
+    /// A streamed response has begun: from now on the attempt belongs to the client.
     ResponseStarted {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
     },
-    /// The client is gone; nothing more is owed.
+    /// The client disconnected; no answer is owed any more.
     ClientDisconnected {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
     },
-    /// The whole endpoint list; what is missing is gone.
+    /// The complete endpoint list; endpoints that it does not contain are gone.
     FullList(Vec<EndpointEntry>),
-    /// The changed lines of the endpoint list.
+    /// The changed entries of the endpoint list.
     ListChanges(Vec<EndpointEntry>),
-    /// A subscription failed or broke; the old list stays.
+    /// A subscription failed or broke; the known endpoint list stays in use.
     SubscriptionFailed,
-    /// A moment asked for with [`Action::Wake`] has come.
+    /// A time requested by [`Action::Wake`] has come.
     Wake,
-    /// The host has handed in all it has for now. Sends are decided here.
+    /// The host has submitted all the events that it has for now. Sends are decided here.
     TurnEnd,
 }
 
-/// What the host is to do.
+/// An output of the decision module, to be carried out by the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. Sends of one turn to one endpoint travel together, up to [`DestKind::max_batch`].
+    /// Start an attempt. Sends of one turn to one endpoint travel in one call, up to [`DestKind::max_batch`].
     Send {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
-        /// The endpoint.
+        /// Endpoint to send it to.
         endpoint: EndpointId,
-        /// Time-out; 0: until the client stops waiting.
+        /// Timeout of the attempt; 0 means until the client stops waiting.
         timeout: Micros,
-        /// Nothing of it may be written later than then: connections take their time to come up, and the destination
-        /// may have forgotten the key by then. Not begun by then, the attempt never ran.
+        /// Latest time at which the first byte of the message may be written: a connection takes time to be
+        /// established, and the destination may have forgotten the idempotency key by then. An attempt that
+        /// has not begun by this time never ran.
         begin_by: Micros,
     },
-    /// Final answer: handed back; another try does no harm.
+    /// Final answer: the message is handed back, and the client may safely submit it again.
     Refuse {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
-        /// How long the client should wait; 0: not told.
+        /// How long the client should wait before it tries again; 0 if there is no advice.
         wait: Micros,
     },
-    /// Final answer: given up, with no promise about its effect.
+    /// Final answer: the message has failed, and may or may not have taken effect.
     Fail {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
     },
-    /// Stop waiting for an attempt; it still gets its [`EndedAttempt`].
+    /// Cancel an attempt; the host still reports its end with [`Event::AttemptEnded`].
     Cancel {
-        /// The message.
+        /// Number of the message.
         id: MessageId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: usize,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// Endpoint whose connections are closed.
         endpoint: EndpointId,
     },
-    /// Hand in [`Event::Wake`] at this time or soon after.
+    /// Submit [`Event::Wake`] at this time or soon after.
     Wake {
-        /// When.
+        /// Time of the event.
         at: Micros,
     },
     /// Subscribe to changes of the endpoint list.
@@ -339,7 +342,7 @@
 }
 
 impl Default for Settings {
-    /// Nothing allowed, nothing limited: the neutral value of every setting.
+    /// Returns settings that allow nothing and limit nothing: the neutral value of each.
     fn default() -> Self {
         Settings {
             classes: Vec::new(),
--- a/crates/policy/src/balancer/messages.rs
+++ b/crates/policy/src/balancer/messages.rs
@@ -1,185 +1,223 @@
-//! Messages while they are held: taken, queued, parked, shed and given their final answer.
+//! The life of held messages: they are submitted, queued, deferred, shed and given their final answer.
 
-use super::params::SECOND;
+use super::params::SECOND_US;
 use super::scope::Scope;
-use super::state::{Balancer, Dest, Message, Place};
+use super::state::{Balancer, Dest, Message, Placement};
 use crate::api::{Action, Decay, Effect, MessageHistory, MessageId, Micros, SubmittedMessage};
 
-/// Held messages are shed once the Nth part of `openCap` is left.
-const SHED_PART: usize = 32;
+/// Messages are shed once less than this fraction (one N-th) of `openCap` is free.
+const SHED_RESERVE_DIVISOR: usize = 32;
 
 impl Balancer {
-    pub(super) fn submit(&mut self, now: Micros, m: SubmittedMessage, actions: &mut Vec<Action>) {
-        let e = self.e.clone();
-        if self.messages.contains_key(&m.id) {
+    /// Takes a submitted message. A message whose id is held already is ignored.
+    pub(super) fn submit(&mut self, now: Micros, submitted: SubmittedMessage, actions: &mut Vec<Action>) {
+        let params = self.params.clone();
+        if self.messages.contains_key(&submitted.id) {
             return;
         }
-        let Some(c) = e.s.classes.get(m.class) else {
-            return actions.push(Action::Refuse { id: m.id, wait: 0 });
+        let Some(class) = params.settings.classes.get(submitted.class) else {
+            return actions.push(Action::Refuse { id: submitted.id, wait: 0 });
         };
-        // Nothing is kept for a destination that the list has never named: anybody may name any number.
-        if m.history.attempts == 0 && !m.history.was_accepted && !self.dests.contains_key(&m.dest) {
+        // No state is kept for a destination that was never listed, since clients may name any number.
+        if submitted.history.attempts == 0
+            && !submitted.history.was_accepted
+            && !self.dests.contains_key(&submitted.dest)
+        {
             return actions.push(Action::Refuse {
-                id: m.id,
-                wait: e.s.max_retry_after.clamp(0, e.target_latency as Micros),
+                id: submitted.id,
+                wait: params.settings.max_retry_after.clamp(0, params.target_latency as Micros),
             });
         }
-        let mut over = false;
-        if let Some((tenant, seen)) = m.tenant.and_then(|t| e.s.tenants.get(t).zip(self.tenants.get_mut(t))) {
-            seen.add(now, e.warm);
-            over = seen.get(now, e.warm) * SECOND / e.warm > tenant.quota;
+        let mut over_quota = false;
+        if let Some((tenant, submissions)) = submitted
+            .tenant
+            .and_then(|t| params.settings.tenants.get(t).zip(self.tenant_submissions.get_mut(t)))
+        {
+            submissions.add(now, params.warm_up);
+            over_quota = submissions.value(now, params.warm_up) * SECOND_US / params.warm_up > tenant.quota;
         }
-        self.dests.get_mut(&m.dest).into_iter().for_each(|d| d.scope.handed_in.add(now, e.warm));
-        let (id, key) = (m.id, m.key.clone().filter(|_| c.ordered));
-        // A client that comes with less patience than the aim is on time until it leaves.
-        let due = m.expires_at
-            - if m.expires_at - now > c.target_latency { c.deadline - c.target_latency } else { 0 };
-        let m = SubmittedMessage { key: key.clone(), ..m };
-        let MessageHistory { attempts, first_possible_run, .. } = m.history;
-        let held = Message {
-            m,
-            over,
+        self.dests
+            .get_mut(&submitted.dest)
+            .into_iter()
+            .for_each(|dest| dest.scope.messages_submitted.add(now, params.warm_up));
+        let (id, key) = (submitted.id, submitted.key.clone().filter(|_| class.ordered));
+        // A message whose client waits for less than the target latency keeps its full value until the client
+        // leaves.
+        let due = submitted.expires_at
+            - if submitted.expires_at - now > class.target_latency {
+                class.deadline - class.target_latency
+            } else {
+                0
+            };
+        let submitted = SubmittedMessage { key: key.clone(), ..submitted };
+        let MessageHistory { attempts, first_possible_run, .. } = submitted.history;
+        let message = Message {
+            submitted,
+            over_quota,
             due,
             alarm: now,
             attempts,
-            place: Place::Turn,
+            placement: Placement::Pending,
             first_possible_run,
-            started: false,
+            response_started: false,
         };
-        self.messages.insert(id, held);
+        self.messages.insert(id, message);
         self.set_alarm(id);
-        if self.spent(&self.messages[&id]) {
-            return self.give_back(now, id, actions);
+        if self.is_exhausted(&self.messages[&id]) {
+            return self.refuse_or_fail(now, id, actions);
         }
         match key {
             Some(key) => {
-                self.turns.entry(key.clone()).or_default().queue.push_back(id);
-                self.next_turn(now, &key);
+                self.key_queues.entry(key.clone()).or_default().messages.push_back(id);
+                self.release_next_of_key(now, &key);
             }
             None => self.enqueue(now, id),
         }
-        if self.messages.len() + e.s.max_held_messages / SHED_PART > e.s.max_held_messages {
+        if self.messages.len() + params.settings.max_held_messages / SHED_RESERVE_DIVISOR
+            > params.settings.max_held_messages
+        {
             self.shed(now, actions);
         }
     }
 
-    /// No send after this: too late for an answer, or the destination may have forgotten the key.
-    pub(super) fn sendable_until(&self, m: &Message) -> Micros {
-        let usual = self.dests.get(&m.m.dest).map_or(0.0, |d| d.scope.usual);
-        let way = (usual.max(self.e.target_latency / 16.0) / 2.0) as Micros;
-        let end = m.m.expires_at - (usual / 2.0) as Micros - 3 * self.e.tick;
-        match (self.e.s.classes[m.m.class].effect, m.first_possible_run) {
-            // The key's life counts from the first attempt that may have run; this one has a way to go.
-            (Effect::Keyed { life, .. }, Some((first, _))) => end.min(first + life - way),
+    /// Returns the time after which a message must not be sent, because the answer would come too late or the
+    /// destination may have forgotten the idempotency key.
+    pub(super) fn sendable_until(&self, message: &Message) -> Micros {
+        let usual_latency =
+            self.dests.get(&message.submitted.dest).map_or(0.0, |dest| dest.scope.usual_latency);
+        let transit = (usual_latency.max(self.params.target_latency / 16.0) / 2.0) as Micros;
+        let end = message.submitted.expires_at - (usual_latency / 2.0) as Micros - 3 * self.params.tick;
+        match (self.params.settings.classes[message.submitted.class].effect, message.first_possible_run) {
+            // The life of the key counts from the first attempt that may have run; the next one must arrive
+            // within it.
+            (Effect::Keyed { life, .. }, Some((first, _))) => end.min(first + life - transit),
             _ => end,
         }
     }
 
-    /// No further attempt is allowed, by count or because an unsafe one may have run.
-    pub(super) fn spent(&self, m: &Message) -> bool {
-        let once = self.e.s.classes[m.m.class].effect == Effect::Unsafe;
-        (once && m.first_possible_run.is_some()) || m.attempts >= self.e.s.max_attempts
+    /// Returns true if no further attempt is allowed, because of their number or because an unsafe message
+    /// may have run.
+    pub(super) fn is_exhausted(&self, message: &Message) -> bool {
+        let is_unsafe = self.params.settings.classes[message.submitted.class].effect == Effect::Unsafe;
+        (is_unsafe && message.first_possible_run.is_some())
+            || message.attempts >= self.params.settings.max_attempts
     }
 
+    /// Sets the alarm of a message to the time after which it must not be sent.
     pub(super) fn set_alarm(&mut self, id: MessageId) {
         let alarm = self.sendable_until(&self.messages[&id]);
-        let m = self.messages.get_mut(&id).expect("alarms are set for held messages");
-        self.alarms.remove(&(m.alarm, id));
-        m.alarm = alarm;
+        let message = self.messages.get_mut(&id).expect("alarms are set for held messages");
+        self.alarms.remove(&(message.alarm, id));
+        message.alarm = alarm;
         self.alarms.insert((alarm, id));
     }
 
+    /// Puts a message into its queue, ready to be sent.
     pub(super) fn enqueue(&mut self, now: Micros, id: MessageId) {
-        let m = self.messages.get_mut(&id).expect("only held messages are queued");
-        m.place = Place::Lane;
+        let message = self.messages.get_mut(&id).expect("only held messages are queued");
+        message.placement = Placement::Queued;
         let new = || Dest { scope: Scope::new(now, &mut self.seed), ..Dest::default() };
-        let d = self.dests.entry(m.m.dest).or_insert_with(new);
-        d.lanes.entry((m.m.class, m.over)).or_default().insert((m.due, id));
-        self.waiting.insert(m.m.dest);
+        let dest = self.dests.entry(message.submitted.dest).or_insert_with(new);
+        let queue = dest.queues.entry((message.submitted.class, message.over_quota)).or_default();
+        queue.insert((message.due, id));
+        self.dests_with_queue.insert(message.submitted.dest);
     }
 
-    pub(super) fn unqueue(&mut self, id: MessageId) {
-        let Some(m) = self.messages.get(&id) else { return };
-        if let Place::Parked(at) = m.place {
-            self.parked.remove(&(at, id));
-        } else if m.place == Place::Lane
-            && let Some(d) = self.dests.get_mut(&m.m.dest)
+    /// Takes a message out of its queue, or out of the deferred messages.
+    pub(super) fn dequeue(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if let Placement::Deferred(at) = message.placement {
+            self.deferred.remove(&(at, id));
+        } else if message.placement == Placement::Queued
+            && let Some(dest) = self.dests.get_mut(&message.submitted.dest)
         {
-            d.lanes.entry((m.m.class, m.over)).or_default().remove(&(m.due, id));
-            d.lanes.retain(|_, lane| !lane.is_empty());
-            if d.lanes.is_empty() {
-                self.waiting.remove(&m.m.dest);
+            let queue = dest.queues.entry((message.submitted.class, message.over_quota)).or_default();
+            queue.remove(&(message.due, id));
+            dest.queues.retain(|_, queue| !queue.is_empty());
+            if dest.queues.is_empty() {
+                self.dests_with_queue.remove(&message.submitted.dest);
             }
         }
     }
 
-    pub(super) fn park(&mut self, id: MessageId, until: Micros) {
-        self.messages.get_mut(&id).expect("only held messages are parked").place = Place::Parked(until);
-        self.parked.insert((until, id));
+    /// Defers a message until a later time, at which it is queued.
+    pub(super) fn defer(&mut self, id: MessageId, until: Micros) {
+        let message = self.messages.get_mut(&id).expect("only held messages are deferred");
+        message.placement = Placement::Deferred(until);
+        self.deferred.insert((until, id));
     }
 
-    /// Lets the first message of an ordered key go once nothing before it can still run.
-    pub(super) fn next_turn(&mut self, now: Micros, key: &str) {
-        let Some(t) = self.turns.get(key).filter(|t| t.out == 0) else { return };
-        let rest = t.rest_until;
-        match t.queue.front().copied() {
-            None if now >= rest => drop(self.turns.remove(key)),
-            Some(id) if self.messages[&id].place == Place::Turn && now < rest => self.park(id, rest),
-            Some(id) if self.messages[&id].place == Place::Turn => self.enqueue(now, id),
+    /// Releases the first message of an ordered key once no earlier one can still be running.
+    pub(super) fn release_next_of_key(&mut self, now: Micros, key: &str) {
+        let Some(queue) = self.key_queues.get(key).filter(|queue| queue.in_flight == 0) else { return };
+        let blocked_until = queue.blocked_until;
+        match queue.messages.front().copied() {
+            None if now >= blocked_until => drop(self.key_queues.remove(key)),
+            Some(id) if self.messages[&id].placement == Placement::Pending && now < blocked_until => {
+                self.defer(id, blocked_until)
+            }
+            Some(id) if self.messages[&id].placement == Placement::Pending => self.enqueue(now, id),
             _ => {}
         }
     }
 
-    /// The message is over: nothing more goes out for it.
-    pub(super) fn forget(&mut self, now: Micros, id: MessageId) {
-        self.unqueue(id);
-        let Some(m) = self.messages.remove(&id) else { return };
-        self.alarms.remove(&(m.alarm, id));
-        if let Some(key) = m.m.key {
-            self.turns.entry(key.clone()).or_default().queue.retain(|q| *q != id);
-            self.next_turn(now, &key);
+    /// Removes a finished message, so that nothing more is sent for it.
+    pub(super) fn remove_message(&mut self, now: Micros, id: MessageId) {
+        self.dequeue(id);
+        let Some(message) = self.messages.remove(&id) else { return };
+        self.alarms.remove(&(message.alarm, id));
+        if let Some(key) = message.submitted.key {
+            self.key_queues.entry(key.clone()).or_default().messages.retain(|queued| *queued != id);
+            self.release_next_of_key(now, &key);
         }
     }
 
-    /// Refuses where no attempt may have run, else fails.
-    pub(super) fn give_back(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
-        let Some(m) = self.messages.get(&id) else { return };
-        let safe = self.e.s.classes[m.m.class].effect == Effect::Safe;
-        if m.place == Place::Out || (m.first_possible_run.is_some() && !safe) {
+    /// Gives a message its final answer: it is refused if another attempt does no harm, and fails otherwise.
+    pub(super) fn refuse_or_fail(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let is_safe = self.params.settings.classes[message.submitted.class].effect == Effect::Safe;
+        if message.placement == Placement::InFlight || (message.first_possible_run.is_some() && !is_safe) {
             actions.push(Action::Fail { id });
         } else {
-            let wait = self.dests.get(&m.m.dest).map_or(0, |d| d.scope.wait_until - now);
-            let most = if self.e.s.may_send_retry_after { self.e.s.max_retry_after.max(0) } else { 0 };
-            actions.push(Action::Refuse { id, wait: wait.clamp(0, most) });
+            let wait = self.dests.get(&message.submitted.dest).map_or(0, |dest| dest.scope.wait_until - now);
+            let max_wait = if self.params.settings.may_send_retry_after {
+                self.params.settings.max_retry_after.max(0)
+            } else {
+                0
+            };
+            actions.push(Action::Refuse { id, wait: wait.clamp(0, max_wait) });
         }
-        self.forget(now, id);
+        self.remove_message(now, id);
     }
 
-    /// Near the cap, the message with least worth still to win makes room for what comes.
+    /// Sheds a message to make room for new ones: the first of the queue whose first message has the lowest
+    /// value in proportion to the length of the queue.
     pub(super) fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let lanes = self.waiting.iter().flat_map(|d| self.dests[d].lanes.values());
-        let worth = lanes.filter_map(|lane| {
-            let (_, id) = *lane.first()?;
-            Some((self.value(&self.messages[&id], now) / lane.len() as f64, id))
+        let queues = self.dests_with_queue.iter().flat_map(|dest| self.dests[dest].queues.values());
+        let values = queues.filter_map(|queue| {
+            let (_, id) = *queue.first()?;
+            Some((self.value(&self.messages[&id], now) / queue.len() as f64, id))
         });
-        if let Some((_, id)) = worth.min_by(|a, b| a.0.total_cmp(&b.0)) {
-            self.give_back(now, id, actions);
+        if let Some((_, id)) = values.min_by(|a, b| a.0.total_cmp(&b.0)) {
+            self.refuse_or_fail(now, id, actions);
         }
     }
 
-    /// What delivery at `at` would earn.
-    pub(super) fn value(&self, m: &Message, at: Micros) -> f64 {
-        let c = &self.e.s.classes[m.m.class];
-        let late = (at - m.due).max(0) as f64;
-        let part = match self.e.s.decay {
-            Decay::Exponential if c.target_latency > 0 => {
-                (-late / c.target_latency as f64).exp2().max(c.deadline_value_share)
+    /// Returns the value that a delivery at `at` would earn.
+    pub(super) fn value(&self, message: &Message, at: Micros) -> f64 {
+        let class = &self.params.settings.classes[message.submitted.class];
+        let lateness = (at - message.due).max(0) as f64;
+        let share = match self.params.settings.decay {
+            Decay::Exponential if class.target_latency > 0 => {
+                (-lateness / class.target_latency as f64).exp2().max(class.deadline_value_share)
             }
             _ => {
-                1.0 - (1.0 - c.deadline_value_share)
-                    * (late / (m.m.expires_at - m.due).max(1) as f64).min(1.0)
+                1.0 - (1.0 - class.deadline_value_share)
+                    * (lateness / (message.submitted.expires_at - message.due).max(1) as f64).min(1.0)
             }
         };
-        c.value.max(0.0).sqrt() * part * if m.over { self.e.s.over_quota_value_factor } else { 1.0 }
+        class.value.max(0.0).sqrt()
+            * share
+            * if message.over_quota { self.params.settings.over_quota_value_factor } else { 1.0 }
     }
 }
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of a sender. The interface (settings, events, actions) is [`crate::api`].
+//! All decisions of a sender. The interface (settings, events, actions) is [`crate::api`].
 //!
-//! Reading order: `env` and `scope` (what is known of a destination), `state`, then by event: `list`, `hold`,
-//! `admission` with `choice`, `outcomes`, `timers`.
+//! Reading order: `params` and `scope` (what is known of a destination), `state`, then by event:
+//! `endpoint_list`, `messages`, `admission` with `selection`, `outcomes`, `timers`.
 
 mod admission;
 mod endpoint_list;
@@ -16,58 +16,60 @@
 pub use state::Balancer;
 
 use crate::api::{Action, Event, Micros, Settings};
-use crate::numeric::{Fading, chance};
-use params::Env;
+use crate::numeric::{DecayingCounter, random_unit};
+use params::Params;
 use std::sync::Arc;
 
 impl Balancer {
-    /// A sender that knows its settings and nothing else.
+    /// Returns a sender that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (ask, tenants) = (settings.must_subscribe, settings.tenants.len());
+        let (must_subscribe, tenants) = (settings.must_subscribe, settings.tenants.len());
         Balancer {
-            e: Arc::new(Env::new(settings)),
+            params: Arc::new(Params::new(settings)),
             seed: seed | 1,
-            crowded_until: Micros::MIN,
-            tenants: vec![Fading::default(); tenants],
+            connections_scarce_until: Micros::MIN,
+            tenant_submissions: vec![DecayingCounter::default(); tenants],
             wake_at: Micros::MAX,
-            subscribe_at: ask.then_some(Micros::MIN),
+            subscribe_at: must_subscribe.then_some(Micros::MIN),
             ..Balancer::default()
         }
     }
 
-    /// Takes one event; what is to be done is added to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Submit(m) => self.submit(now, m, actions),
-            Event::AttemptEnded(ended) => self.ended(now, ended, actions),
+            Event::Submit(message) => self.submit(now, message, actions),
+            Event::AttemptEnded(ended) => self.attempt_ended(now, ended, actions),
             Event::ResponseStarted { id } => {
-                self.messages.get_mut(&id).into_iter().for_each(|m| m.started = true)
+                self.messages.get_mut(&id).into_iter().for_each(|message| message.response_started = true)
             }
-            Event::ClientDisconnected { id } => self.forget(now, id),
+            Event::ClientDisconnected { id } => self.remove_message(now, id),
             Event::FullList(entries) => {
-                self.dests.values_mut().for_each(|d| d.endpoints.clear());
+                self.dests.values_mut().for_each(|dest| dest.endpoints.clear());
                 for id in self.endpoints.keys() {
-                    self.gone.entry(*id).or_insert(now);
+                    self.delisted.entry(*id).or_insert(now);
                 }
-                self.list(now, entries);
+                self.apply_list(now, entries);
             }
-            Event::ListChanges(entries) => self.list(now, entries),
+            Event::ListChanges(entries) => self.apply_list(now, entries),
             Event::SubscriptionFailed => {
-                self.broken += 1;
-                let gap = (self.e.target_latency as Micros / 8) << self.broken.min(4);
-                self.subscribe_at = Some(now + gap / 2 + (gap as f64 * chance(&mut self.seed)) as Micros);
+                self.subscription_failures += 1;
+                let delay = (self.params.target_latency as Micros / 8) << self.subscription_failures.min(4);
+                self.subscribe_at =
+                    Some(now + delay / 2 + (delay as f64 * random_unit(&mut self.seed)) as Micros);
             }
             Event::Quotas(quotas) => {
-                let tenants = Arc::make_mut(&mut self.e).s.tenants.iter_mut();
+                let tenants = Arc::make_mut(&mut self.params).settings.tenants.iter_mut();
                 tenants.zip(quotas).for_each(|(tenant, quota)| tenant.quota = quota);
             }
             #[cfg(feature = "senders")]
             Event::Senders(senders) => {
-                // Paces shrink at once, before those who come take their part; they grow as room is seen.
-                let less = Arc::make_mut(&mut self.e).share_among(senders).min(1.0);
-                let scopes = self.dests.values_mut().map(|d| &mut d.scope);
-                let scopes = scopes.chain(self.endpoints.values_mut().map(|t| &mut t.scope));
-                scopes.for_each(|s| s.limit = s.limit.map(|l| l * less));
+                // Limits shrink at once, before new senders take their share; they grow only when spare
+                // capacity is observed.
+                let factor = Arc::make_mut(&mut self.params).set_senders(senders).min(1.0);
+                let scopes = self.dests.values_mut().map(|dest| &mut dest.scope);
+                let scopes = scopes.chain(self.endpoints.values_mut().map(|endpoint| &mut endpoint.scope));
+                scopes.for_each(|scope| scope.own_limit = scope.own_limit.map(|limit| limit * factor));
             }
             Event::Wake => self.wake_at = if now >= self.wake_at { Micros::MAX } else { self.wake_at },
             Event::TurnEnd => self.turn_end(now, actions),
--- a/crates/policy/src/balancer/outcomes.rs
+++ b/crates/policy/src/balancer/outcomes.rs
@@ -1,146 +1,188 @@
-//! What came of an attempt: further attempts, the call's slot and count, and what it says of health.
+//! Outcomes of attempts: retries, release of the call's slot, and what an outcome says about health.
 
-use super::params::Env;
-use super::scope::{PACE_GAIN, State};
-use super::state::{Attempt, Balancer, Endpoint, Place};
+use super::params::Params;
+use super::scope::{Phase, RECENT_LATENCY_GAIN};
+use super::state::{Attempt, Balancer, Endpoint, Placement};
 use crate::api::{Action, DestId, EndedAttempt, EndpointId, Micros, Outcome};
-use crate::numeric::chance;
+use crate::numeric::random_unit;
 
-/// The first further attempt after one that may have run waits the Nth part of the aim; then doubled.
-const RETRY_PART: i64 = 16;
-/// An endpoint whose call failed is avoided for the Nth part of `warmAfter`, then doubled up to all of it.
-const AVOID_PART: i64 = 4;
-const AVOID_DOUBLED: u32 = 2;
+/// Delay of the first retry after an attempt that may have run, as a fraction (one N-th) of the target
+/// latency. It doubles with each further attempt.
+const RETRY_DELAY_DIVISOR: i64 = 16;
+/// Time for which an endpoint is avoided after a failed call, as a fraction (one N-th) of `warmAfter`. It
+/// doubles with each consecutive failure.
+const AVOIDANCE_DIVISOR: i64 = 4;
+/// Maximum number of times that the avoidance doubles, up to all of `warmAfter`.
+const MAX_AVOIDANCE_DOUBLINGS: u32 = 2;
 
 impl Endpoint {
-    /// Others of its destination go first for a while, longer with each failure in a row.
-    fn avoid(&mut self, now: Micros, e: &Env) {
-        self.avoid_until = now + ((e.s.warm_up_duration / AVOID_PART) << self.fails.min(AVOID_DOUBLED));
-        self.fails += 1;
+    /// Prefers the other endpoints of the destination for a time that grows with each consecutive failure.
+    fn avoid(&mut self, now: Micros, params: &Params) {
+        self.avoid_until = now
+            + ((params.settings.warm_up_duration / AVOIDANCE_DIVISOR)
+                << self.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS));
+        self.consecutive_failures += 1;
     }
 }
 
 impl Balancer {
-    pub(super) fn ended(&mut self, now: Micros, end: EndedAttempt, actions: &mut Vec<Action>) {
-        let Some(a) = self.attempts.remove(&(end.id, end.attempt)) else { return };
-        // A wait told to one message binds every message there.
-        let full = if let Outcome::Full { wait } = end.outcome { wait } else { None };
-        if let Some(wait) = full.or(end.wait) {
-            let scope = self.scope(a.dest, a.endpoint);
+    /// Handles the end of an attempt. Unknown attempts are ignored.
+    pub(super) fn attempt_ended(&mut self, now: Micros, end: EndedAttempt, actions: &mut Vec<Action>) {
+        let Some(attempt) = self.attempts.remove(&(end.id, end.attempt)) else { return };
+        // A wait announced for one message applies to every message of the scope.
+        let full_wait = if let Outcome::Full { wait } = end.outcome { wait } else { None };
+        if let Some(wait) = full_wait.or(end.wait) {
+            let scope = self.scope(attempt.dest, attempt.endpoint);
             scope.wait_until = scope.wait_until.max(now + wait);
         }
-        self.call_ended(now, &a, &end);
-        if let Some(t) = a.key.as_ref().and_then(|key| self.turns.get_mut(key)) {
-            t.out = t.out.saturating_sub(1);
+        self.call_ended(now, &attempt, &end);
+        if let Some(queue) = attempt.key.as_ref().and_then(|key| self.key_queues.get_mut(key)) {
+            queue.in_flight = queue.in_flight.saturating_sub(1);
             if matches!(end.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-                t.rest_until = t.rest_until.max(now + self.e.s.ordered_key_gap);
+                queue.blocked_until = queue.blocked_until.max(now + self.params.settings.ordered_key_gap);
             }
         }
         if end.finished || end.outcome == Outcome::Delivered {
-            self.forget(now, end.id);
+            self.remove_message(now, end.id);
         } else if self.messages.contains_key(&end.id) {
-            self.again(now, &a, &end, actions);
+            self.retry(now, &attempt, &end, actions);
         }
-        if let Some(key) = &a.key {
-            self.next_turn(now, key);
+        if let Some(key) = &attempt.key {
+            self.release_next_of_key(now, key);
         }
     }
 
-    /// A further attempt, if the class and the attempts left allow one.
-    pub(super) fn again(&mut self, now: Micros, a: &Attempt, end: &EndedAttempt, actions: &mut Vec<Action>) {
-        let (e, id, zone) = (self.e.clone(), end.id, self.endpoints[&a.endpoint].zone);
-        let m = self.messages.get_mut(&id).expect("checked by the caller");
-        if !end.outcome.never_ran() && m.first_possible_run.is_none() {
-            m.first_possible_run = Some((a.sent, zone));
+    /// Plans a further attempt, if the class and the number of attempts allow one; otherwise answers the
+    /// message.
+    pub(super) fn retry(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        end: &EndedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let (params, id, zone) = (self.params.clone(), end.id, self.endpoints[&attempt.endpoint].zone);
+        let message = self.messages.get_mut(&id).expect("checked by the caller");
+        if !end.outcome.never_ran() && message.first_possible_run.is_none() {
+            message.first_possible_run = Some((attempt.sent_at, zone));
         }
-        m.place = Place::Turn;
+        message.placement = Placement::Pending;
         self.set_alarm(id);
-        let m = &self.messages[&id];
-        if now >= m.alarm || self.spent(m) {
-            return self.give_back(now, id, actions);
+        let message = &self.messages[&id];
+        if now >= message.alarm || self.is_exhausted(message) {
+            return self.refuse_or_fail(now, id, actions);
         }
-        let step = (e.target_latency as Micros / RETRY_PART) << (m.attempts - 1).min(4);
+        let step = (params.target_latency as Micros / RETRY_DELAY_DIVISOR) << (message.attempts - 1).min(4);
         let delay = if end.outcome.never_ran() { 0 } else { step };
-        if delay > 0 { self.park(id, now + delay) } else { self.enqueue(now, id) }
+        if delay > 0 { self.defer(id, now + delay) } else { self.enqueue(now, id) }
     }
 
-    /// Books the end of a call: slot, count and connection; then it is judged.
-    pub(super) fn call_ended(&mut self, now: Micros, a: &Attempt, end: &EndedAttempt) {
-        let left = self.calls.get_mut(&a.call).expect("an attempt belongs to a call");
-        *left -= 1;
-        if *left > 0 {
+    /// Updates the state of a call whose attempt ended. With its last attempt the call ends: its slot and
+    /// connection are released, and its outcome is recorded.
+    pub(super) fn call_ended(&mut self, now: Micros, attempt: &Attempt, end: &EndedAttempt) {
+        let in_flight = self.calls.get_mut(&attempt.call).expect("an attempt belongs to a call");
+        *in_flight -= 1;
+        if *in_flight > 0 {
             return;
         }
-        self.calls.remove(&a.call);
-        let scope = self.scope(a.dest, a.endpoint);
-        scope.out.remove(&a.call);
-        let counter = self.counters.entry(a.dest).or_default();
-        *counter = counter.saturating_sub(1);
-        if *counter == 0 {
-            self.counters.remove(&a.dest);
+        self.calls.remove(&attempt.call);
+        let scope = self.scope(attempt.dest, attempt.endpoint);
+        scope.calls_in_flight.remove(&attempt.call);
+        let calls = self.calls_by_dest.entry(attempt.dest).or_default();
+        *calls = calls.saturating_sub(1);
+        if *calls == 0 {
+            self.calls_by_dest.remove(&attempt.dest);
         }
-        let (e, took) = (self.e.clone(), end.elapsed as f64);
-        let others = end.outcome.never_ran() && self.others_serve(a.dest, a.endpoint);
-        let t = self.endpoints.get_mut(&a.endpoint).expect("only known endpoints are sent to");
-        t.out = t.out.saturating_sub(1);
+        let (params, latency) = (self.params.clone(), end.elapsed as f64);
+        let others_serve =
+            end.outcome.never_ran() && self.other_endpoints_serve(attempt.dest, attempt.endpoint);
+        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("only known endpoints are sent to");
+        endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
         if matches!(end.outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. }) {
-            t.idle.push_back(now);
-            t.idle.retain(|at| now - at < e.s.idle_timeout);
-            self.used.insert(a.endpoint);
+            endpoint.idle_connections.push_back(now);
+            endpoint.idle_connections.retain(|at| now - at < params.settings.idle_timeout);
+            self.used_endpoints.insert(attempt.endpoint);
         }
-        let at_once = end.outcome == Outcome::ConnectFailed && end.elapsed < e.s.connect_timeout / 2;
-        self.crowded_until = if at_once { now + e.warm as Micros } else { self.crowded_until };
+        let connect_refused =
+            end.outcome == Outcome::ConnectFailed && end.elapsed < params.settings.connect_timeout / 2;
+        self.connections_scarce_until =
+            if connect_refused { now + params.warm_up as Micros } else { self.connections_scarce_until };
         match end.outcome {
             Outcome::Delivered => {
-                t.pace = if t.pace > 0.0 { t.pace + PACE_GAIN * (took - t.pace) } else { took };
-                t.avoid_until = now;
-                (t.crowded, t.fails, t.served_at) = (0, 0, Some(now));
+                endpoint.recent_latency = if endpoint.recent_latency > 0.0 {
+                    endpoint.recent_latency + RECENT_LATENCY_GAIN * (latency - endpoint.recent_latency)
+                } else {
+                    latency
+                };
+                endpoint.avoid_until = now;
+                (endpoint.connect_refusals, endpoint.consecutive_failures, endpoint.last_delivery) =
+                    (0, 0, Some(now));
             }
-            // Full after failures: it holds what it never answered, and its destination's others go on.
-            Outcome::Full { wait: None } if t.fails > 0 => {
-                t.avoid(now, &e);
-                if others {
+            // An endpoint that refuses calls after failures is full of calls that it never answered; the
+            // other endpoints of its destination continue to serve.
+            Outcome::Full { wait: None } if endpoint.consecutive_failures > 0 => {
+                endpoint.avoid(now, &params);
+                if others_serve {
                     return;
                 }
             }
             Outcome::Full { .. } | Outcome::NotSent | Outcome::Malformed => {}
-            // Turned away at once by one that has just served, or while others may: a full table once a wave.
-            _ if at_once
-                && (others || t.served_at.is_some_and(|at| now - at < e.target_latency as Micros / 2)) =>
+            // A connection that is refused at once by an endpoint that has just delivered, or while other
+            // endpoints may serve, shows a full connection table and no outage. It counts once per wave.
+            _ if connect_refused
+                && (others_serve
+                    || endpoint
+                        .last_delivery
+                        .is_some_and(|at| now - at < params.target_latency as Micros / 2)) =>
             {
-                if t.crowded == 0 || now - end.elapsed >= t.closed_until {
-                    t.crowded = (t.crowded + 1).min(6);
-                    let wait =
-                        e.target_latency / 16.0 * f64::from(1 << t.crowded) * (0.5 + chance(&mut self.seed));
-                    // Not beyond the time in which it counts as just served: an outage must not go by unseen.
-                    let seen = t.served_at.unwrap_or(now) + e.target_latency as Micros / 2;
-                    t.closed_until = (now + wait as Micros).min(if others { Micros::MAX } else { seen });
+                if endpoint.connect_refusals == 0 || now - end.elapsed >= endpoint.no_connect_until {
+                    endpoint.connect_refusals = (endpoint.connect_refusals + 1).min(6);
+                    let wait = params.target_latency / 16.0
+                        * f64::from(1 << endpoint.connect_refusals)
+                        * (0.5 + random_unit(&mut self.seed));
+                    // The pause ends within the time in which the endpoint counts as having just delivered,
+                    // so that an outage is not missed.
+                    let just_delivered_until =
+                        endpoint.last_delivery.unwrap_or(now) + params.target_latency as Micros / 2;
+                    endpoint.no_connect_until = (now + wait as Micros).min(if others_serve {
+                        Micros::MAX
+                    } else {
+                        just_delivered_until
+                    });
                 }
                 return;
             }
-            _ => t.avoid(now, &e),
+            _ => endpoint.avoid(now, &params),
         }
-        self.judge(now, a.dest, a.endpoint, end);
+        self.record_outcome(now, attempt.dest, attempt.endpoint, end);
     }
 
-    /// Whether another endpoint of the destination may serve.
-    fn others_serve(&self, dest: DestId, endpoint: EndpointId) -> bool {
-        let d = &self.dests[&dest];
-        let well = |t: &Endpoint| t.fails == 0 && t.crowded == 0;
-        let mut others = d.endpoints.iter().filter(|id| **id != endpoint);
-        d.scope.state == State::Open && others.any(|id| well(&self.endpoints[id]))
+    /// Returns true if another endpoint of the destination may serve.
+    fn other_endpoints_serve(&self, dest: DestId, endpoint: EndpointId) -> bool {
+        let dest = &self.dests[&dest];
+        let is_healthy =
+            |endpoint: &Endpoint| endpoint.consecutive_failures == 0 && endpoint.connect_refusals == 0;
+        let mut others = dest.endpoints.iter().filter(|id| **id != endpoint);
+        dest.scope.phase == Phase::Up && others.any(|id| is_healthy(&self.endpoints[id]))
     }
 
-    pub(super) fn judge(&mut self, now: Micros, dest: DestId, endpoint: EndpointId, end: &EndedAttempt) {
-        let (e, kind) = (self.e.clone(), self.dests[&dest].kind);
+    /// Records the report and the outcome of a call in its scope.
+    pub(super) fn record_outcome(
+        &mut self,
+        now: Micros,
+        dest: DestId,
+        endpoint: EndpointId,
+        end: &EndedAttempt,
+    ) {
+        let (params, kind) = (self.params.clone(), self.dests[&dest].kind);
         let scope = self.scope(dest, endpoint);
-        end.report.into_iter().for_each(|report| scope.told(report, now, kind, &e));
+        end.report.into_iter().for_each(|report| scope.apply_report(report, now, kind, &params));
         match end.outcome {
-            Outcome::Delivered => scope.delivered(now, end.elapsed as f64, &e),
-            Outcome::Full { wait } => scope.refused(now, now - end.elapsed, wait, &e),
-            // Nobody's health shows in an answer that was spoilt on its way.
+            Outcome::Delivered => scope.record_delivery(now, end.elapsed as f64, &params),
+            Outcome::Full { wait } => scope.record_refusal(now, now - end.elapsed, wait, &params),
+            // An answer that was corrupted on its way says nothing about the destination's health.
             Outcome::NotSent | Outcome::Malformed => {}
-            outcome => scope.failed(now, outcome, &e),
+            outcome => scope.record_failure(now, outcome, &params),
         }
     }
 }
--- a/crates/policy/src/balancer/scope.rs
+++ b/crates/policy/src/balancer/scope.rs
@@ -1,347 +1,465 @@
-//! What is known of a destination, or of one route where routes are apart: its pace, its health, its limit
-//! and how it comes back from an outage.
+//! The state of a scope: its latency, its health, its rate limit, and how load returns to it after an outage.
+//!
+//! A scope is a destination, or a single endpoint where the endpoints of a destination are independent.
 
-use super::params::{Env, SECOND, UNEVEN};
+use super::params::{Params, SECOND_US, UNEVEN_LOAD_FACTOR};
 use crate::api::{DestKind, LimitReport, Micros, Outcome};
-use crate::numeric::{Fading, chance};
+use crate::numeric::{DecayingCounter, random_unit};
 use std::collections::BTreeMap;
 
-/// Outcomes imagined good (calls): few samples do not condemn.
-const PRIOR_GOOD: f64 = 3.0;
-/// Share of failures from which a destination falters.
-pub(super) const FALTER_SHARE: f64 = 0.2;
-/// Weighed failures (calls) from which, where they are most of all outcomes, an outage is assumed.
-const OUTAGE_FAILS: f64 = 2.5;
-/// A destination falters once calls take this multiple of its usual pace;
-const SLOW_TIMES: f64 = 3.0;
-/// calls out for this multiple of it, and for half an aim, are overdue;
-const OVERDUE_TIMES: f64 = 4.0;
-/// So many refusals in a row without a told wait are a shut door, not a limit; fewer where many see few each.
-const SHUT_REFUSALS: u32 = 4;
-/// Gain of one delivery in the usual pace (tens of calls) and in the present one (a few).
-const USUAL_GAIN: f64 = 0.05;
-pub(super) const PACE_GAIN: f64 = 0.3;
-/// A refusal cuts the pace to this part of what was sent; it recovers by this part a second.
-const BACK_OFF: f64 = 0.7;
-const RECOVER: f64 = 0.08;
-/// and where no limit is told by this part with each delivery at least.
-const RECOVER_CALL: f64 = 0.02;
-/// The longer ago the last refusal, the faster: N times this span (seconds), N times the part, up to so many.
-const QUIET_S: f64 = 2.0;
-const QUIET_MOST: f64 = 4.0;
-/// While it warms up, each delivery at its usual pace lets the rate grow by this factor, and a refusal cuts
-/// it to this part; by the settings' own figures the rate starts where nobody can be pushed over.
-const GROW: f64 = 1.4;
-const SHRINK: f64 = 0.5;
-/// A delivery within this multiple of the usual time shows that there is room for more.
-const ROOM_TIMES: f64 = 2.0;
-/// What overran a limit was sent within about this time (microseconds).
-const RECENT: f64 = 2.0 * SECOND;
-/// Sends let through unspaced, as a span of the limit (seconds).
-const BURST_S: f64 = 0.3;
-/// What is told to be left of an allowance (all is 1) fades in this time (us) to where the pace holds.
-const LEFT_SPAN: f64 = 2.0 * SECOND;
-const LEFT_EVEN: f64 = 0.5;
-/// Part of the pace with nothing left, and with all of it.
-const LEFT_NONE: f64 = 0.4;
-const LEFT_ALL: f64 = 1.3;
-/// With less than this left the pace does not grow, but falls by this part a second, to half of an even one.
-const LEFT_LITTLE: f64 = 0.25;
-const GIVE_WAY: f64 = 0.6;
-/// A told limit within this multiple of the listed one, up or down, is believed.
-const REPORT_TIMES: f64 = 10.0;
+/// Number of successful calls assumed before any is observed, so that few samples do not mark a scope as
+/// degraded.
+const PRIOR_SUCCESSES: f64 = 3.0;
+/// Share of failed calls (0 to 1) above which a scope is degraded.
+pub(super) const DEGRADED_FAILURE_SHARE: f64 = 0.2;
+/// Number of failed calls, decayed with time, from which an outage is assumed, if they outnumber the
+/// successes or nothing was delivered lately. Fewer suffice where a sender sends few calls.
+const OUTAGE_FAILURES: f64 = 2.5;
+/// Multiple of the usual latency above which the recent latency marks a scope as degraded.
+const SLOW_LATENCY_FACTOR: f64 = 3.0;
+/// Multiple of the usual latency from which a call in flight is overdue, but not before half a target
+/// latency.
+const OVERDUE_LATENCY_FACTOR: f64 = 4.0;
+/// Number of consecutive refusals without an announced wait that are taken for an outage rather than a rate
+/// limit. Fewer suffice where many senders observe only a few refusals each.
+const OUTAGE_REFUSALS: u32 = 4;
+/// Weight of one delivery (0 to 1) in the moving average of the usual latency, which covers tens of calls.
+const USUAL_LATENCY_GAIN: f64 = 0.05;
+/// Weight of one delivery (0 to 1) in the moving average of the recent latency, which covers a few calls.
+pub(super) const RECENT_LATENCY_GAIN: f64 = 0.3;
+/// Factor (0 to 1) by which a refusal reduces the limit, starting from the rate that was sent.
+const BACK_OFF_FACTOR: f64 = 0.7;
+/// Share of itself by which the limit recovers per second.
+const RECOVERY_PER_SEC: f64 = 0.08;
+/// Minimum share of itself by which the limit recovers with each delivery, where no limit is announced.
+const RECOVERY_PER_DELIVERY: f64 = 0.02;
+/// Time without a refusal, in seconds, per step of faster recovery: N times this time gives N times the
+/// recovery.
+const QUIET_SECS: f64 = 2.0;
+/// Maximum factor by which a time without refusals speeds up the recovery.
+const MAX_QUIET_FACTOR: f64 = 4.0;
+/// Factor by which each delivery at the usual latency raises the rate during warm-up. The rate starts,
+/// according to the settings, where the destination cannot be overloaded.
+const WARM_UP_GROWTH_FACTOR: f64 = 1.4;
+/// Factor (0 to 1) by which a refusal reduces the rate during warm-up.
+const WARM_UP_BACK_OFF_FACTOR: f64 = 0.5;
+/// Multiple of the usual latency below which a delivery shows spare capacity.
+const SPARE_CAPACITY_LATENCY_FACTOR: f64 = 2.0;
+/// Time, in microseconds, within which the calls that exceeded a limit were sent.
+const RECENT_WINDOW_US: f64 = 2.0 * SECOND_US;
+/// Length, in seconds at the limit's rate, of a burst that may be sent without spacing.
+const BURST_SECS: f64 = 0.3;
+/// Time constant, in microseconds, in which a reported remaining allowance decays to [`NEUTRAL_REMAINING`].
+const REMAINING_DECAY_US: f64 = 2.0 * SECOND_US;
+/// Remaining share of the allowance (0 to 1) at which the rate is neither raised nor lowered.
+const NEUTRAL_REMAINING: f64 = 0.5;
+/// Factor applied to the rate when nothing of the allowance remains.
+const EMPTY_RATE_FACTOR: f64 = 0.4;
+/// Factor applied to the rate when all of the allowance remains.
+const FULL_RATE_FACTOR: f64 = 1.3;
+/// Remaining share of the allowance (0 to 1) below which the limit is reduced instead of growing.
+const LOW_REMAINING: f64 = 0.25;
+/// Share of itself per second by which the limit falls while little of the allowance remains, down to half of
+/// an even share.
+const LOW_REMAINING_CUT_PER_SEC: f64 = 0.6;
+/// Maximum factor, up or down, by which a reported limit may differ from the listed one and still be
+/// accepted. Without a listed limit, the square of this factor applies to 10 calls per second.
+const MAX_LIMIT_DEVIATION_FACTOR: f64 = 10.0;
 
+/// Phase of a scope with respect to outages.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub(super) enum State {
+pub(super) enum Phase {
+    /// Normal operation.
     #[default]
-    Open,
-    /// Held to be down: trials only, none before this time.
+    Up,
+    /// Assumed to be down: only probes are sent, and none before this time.
     Outage(Micros),
-    /// Back since then, and cold.
-    Warming(Micros),
+    /// Available again since this time, with reduced capacity.
+    WarmUp(Micros),
 }
 
-/// What is known of a destination, or of one route where routes are apart.
+/// What is known of a destination, or of a single endpoint where endpoints are independent.
 #[derive(Default)]
 pub(super) struct Scope {
-    pub(super) state: State,
+    /// Phase with respect to outages.
+    pub(super) phase: Phase,
+    /// State of the pseudo-random number generator.
     pub(super) seed: u64,
-    pub(super) born: Micros,
-    /// Time that deliveries usually take, and take now; 0 while unknown.
-    pub(super) usual: f64,
-    pub(super) pace: f64,
-    pub(super) good: Fading,
-    pub(super) bad: Fading,
-    /// Of the bad ones, those that may have run.
-    pub(super) spent: Fading,
-    pub(super) last_good: Micros,
-    pub(super) out: BTreeMap<u64, Micros>,
+    /// Time at which the scope was created.
+    pub(super) created_at: Micros,
+    /// Slow moving average of the latency of deliveries (microseconds); 0 while unknown.
+    pub(super) usual_latency: f64,
+    /// Fast moving average of the latency of deliveries (microseconds); 0 while unknown.
+    pub(super) recent_latency: f64,
+    /// Deliveries, decayed in the health window.
+    pub(super) successes: DecayingCounter,
+    /// Failed calls, decayed in the health window.
+    pub(super) failures: DecayingCounter,
+    /// Failed calls that may have run, decayed in the health window.
+    pub(super) ambiguous_failures: DecayingCounter,
+    /// Time of the last delivery.
+    pub(super) last_success: Micros,
+    /// Calls in flight and when each was sent.
+    pub(super) calls_in_flight: BTreeMap<u64, Micros>,
+    /// Number of consecutive waves of refusals.
     pub(super) refusals: u32,
+    /// Time of the last refusal that counted.
     pub(super) last_refusal: Micros,
+    /// Time until which nothing is sent.
     pub(super) wait_until: Micros,
-    /// Where the last spaced send stands, and the space after it by the pace that held then.
-    pub(super) slot: (Micros, Micros),
-    /// Calls a second: allowed to this sender now, told for all senders.
-    pub(super) limit: Option<f64>,
-    pub(super) ceiling: Option<f64>,
-    /// What was last told to be left of the limit's allowance, and when.
-    pub(super) left: Option<(f64, Micros)>,
-    /// What the list told of it; 0 where it told nothing.
-    pub(super) listed: f64,
+    /// Scheduled time of the last paced send, and the spacing after it at the rate that held then.
+    pub(super) last_paced_send: (Micros, Micros),
+    /// Calls per second allowed to this sender.
+    pub(super) own_limit: Option<f64>,
+    /// Calls per second that the destination reported as the limit of all senders together.
+    pub(super) reported_limit: Option<f64>,
+    /// Last reported remaining share of the limit's allowance, and when it was reported.
+    pub(super) reported_remaining: Option<(f64, Micros)>,
+    /// Calls per second according to the endpoint list; 0 if it gives none.
+    pub(super) listed_limit: f64,
+    /// Time at which `own_limit` was last adjusted.
     pub(super) adjusted_at: Micros,
-    pub(super) full: bool,
-    pub(super) long: Fading,
-    pub(super) handed_in: Fading,
-    pub(super) short: Fading,
-    /// Calls a second of this sender before the outage.
-    pub(super) base: f64,
-    /// What the destination has shown since to take beyond what the settings alone allow, as a factor.
-    pub(super) boost: f64,
+    /// True if the last call carried as many messages as the destination allows.
+    pub(super) last_call_was_full: bool,
+    /// Calls sent, decayed in the warm-up time.
+    pub(super) calls_sent: DecayingCounter,
+    /// Messages submitted, decayed in the warm-up time.
+    pub(super) messages_submitted: DecayingCounter,
+    /// Calls sent, decayed in [`RECENT_WINDOW_US`].
+    pub(super) recent_calls_sent: DecayingCounter,
+    /// Calls per second of this sender before the outage.
+    pub(super) rate_before_outage: f64,
+    /// Factor by which the rate during warm-up exceeds what the settings alone allow, because the destination
+    /// has shown spare capacity.
+    pub(super) warm_up_boost: f64,
 }
 
 impl Scope {
+    /// Returns a scope in normal operation of which nothing is known.
     pub(super) fn new(now: Micros, seed: &mut u64) -> Self {
-        chance(seed);
+        random_unit(seed);
         Scope {
             seed: *seed,
-            born: now,
-            last_good: now,
+            created_at: now,
+            last_success: now,
             wait_until: now,
-            slot: (Micros::MIN / 2, 0),
+            last_paced_send: (Micros::MIN / 2, 0),
             adjusted_at: now,
             ..Scope::default()
         }
     }
 
-    /// Calls a second of this sender, over the span of warming or since it started.
-    pub(super) fn own_rate(&self, now: Micros, e: &Env) -> f64 {
-        let age = ((now - self.born) as f64).max(e.target_latency);
-        self.long.get(now, e.warm) * SECOND / (e.warm * (1.0 - (-age / e.warm).exp()))
+    /// Returns the calls per second of this sender, averaged over the warm-up time or since the scope was
+    /// created.
+    pub(super) fn own_rate(&self, now: Micros, params: &Params) -> f64 {
+        let age = ((now - self.created_at) as f64).max(params.target_latency);
+        self.calls_sent.value(now, params.warm_up) * SECOND_US
+            / (params.warm_up * (1.0 - (-age / params.warm_up).exp()))
     }
 
-    /// What this sender may count on of a limit told for all (calls a second); 0 where none is told.
-    pub(super) fn own_part(&self, e: &Env) -> f64 {
-        self.ceiling.unwrap_or(0.0) * e.part
+    /// Returns the calls per second that this sender may use of the reported limit; 0 if none is reported.
+    pub(super) fn own_share(&self, params: &Params) -> f64 {
+        self.reported_limit.unwrap_or(0.0) * params.sender_share
     }
 
-    /// A told limit far from the listed one was spoilt on its way: it would starve or flood the destination.
-    pub(super) fn believes(&self, limit: f64) -> bool {
-        let listed = if self.listed > 0.0 { self.listed } else { 10.0 };
-        let times = if self.listed > 0.0 { REPORT_TIMES } else { REPORT_TIMES * REPORT_TIMES };
-        (listed / times..=listed * times).contains(&limit)
+    /// Returns true if a reported limit is close enough to the listed one. A limit far off was corrupted
+    /// on its way, and would starve or overload the destination.
+    pub(super) fn is_plausible_limit(&self, limit: f64) -> bool {
+        let listed = if self.listed_limit > 0.0 { self.listed_limit } else { 10.0 };
+        let factor = if self.listed_limit > 0.0 {
+            MAX_LIMIT_DEVIATION_FACTOR
+        } else {
+            MAX_LIMIT_DEVIATION_FACTOR * MAX_LIMIT_DEVIATION_FACTOR
+        };
+        (listed / factor..=listed * factor).contains(&limit)
     }
 
-    fn is_told(&self) -> bool {
-        self.ceiling.is_some() || self.listed > 0.0
+    /// Returns true if a limit is reported or listed.
+    fn has_known_limit(&self) -> bool {
+        self.reported_limit.is_some() || self.listed_limit > 0.0
     }
 
-    /// Age from which a call is overdue.
-    pub(super) fn patience(&self, e: &Env) -> Micros {
-        (OVERDUE_TIMES * self.usual).max(e.target_latency / 2.0) as Micros
+    /// Returns the age from which a call in flight is overdue.
+    pub(super) fn overdue_after(&self, params: &Params) -> Micros {
+        (OVERDUE_LATENCY_FACTOR * self.usual_latency).max(params.target_latency / 2.0) as Micros
     }
 
-    pub(super) fn overdue(&self, now: Micros, e: &Env) -> usize {
-        let late = self.patience(e);
-        self.out.values().take_while(|sent| now - **sent > late && **sent >= self.last_good - late).count()
+    /// Returns the number of overdue calls in flight.
+    pub(super) fn overdue_calls(&self, now: Micros, params: &Params) -> usize {
+        let limit = self.overdue_after(params);
+        self.calls_in_flight
+            .values()
+            .take_while(|sent_at| now - **sent_at > limit && **sent_at >= self.last_success - limit)
+            .count()
     }
 
-    pub(super) fn falters(&self, now: Micros, e: &Env) -> bool {
-        let bad = self.bad.get(now, e.health);
-        let share = bad / (bad + self.good.get(now, e.health) + PRIOR_GOOD);
-        let slow = self.pace > SLOW_TIMES * self.usual;
-        self.state != State::Open || slow || share > FALTER_SHARE || self.overdue(now, e) > 0
+    /// Returns true if the scope is not in normal operation, slow, failing, or has overdue calls.
+    pub(super) fn is_degraded(&self, now: Micros, params: &Params) -> bool {
+        let failures = self.failures.value(now, params.health_window);
+        let failure_share =
+            failures / (failures + self.successes.value(now, params.health_window) + PRIOR_SUCCESSES);
+        let is_slow = self.recent_latency > SLOW_LATENCY_FACTOR * self.usual_latency;
+        self.phase != Phase::Up
+            || is_slow
+            || failure_share > DEGRADED_FAILURE_SHARE
+            || self.overdue_calls(now, params) > 0
     }
 
-    /// A limit and what is left of it, as an answer told it.
-    pub(super) fn told(&mut self, report: LimitReport, at: Micros, kind: DestKind, e: &Env) {
-        if let Some(limit) = report.limit.filter(|l| self.believes(*l)) {
-            // A limit that was lowered or raised is so for all who share it, at once.
-            let moved = |c: f64| self.limit.map(|l| l * (limit / c).powf(e.others));
-            self.limit = self.ceiling.map_or(Some(limit * e.first_of(kind)), moved);
-            self.ceiling = Some(limit);
+    /// Applies a limit and its remaining allowance as reported in an answer.
+    pub(super) fn apply_report(&mut self, report: LimitReport, at: Micros, kind: DestKind, params: &Params) {
+        if let Some(limit) = report.limit.filter(|limit| self.is_plausible_limit(*limit)) {
+            // A limit that was lowered or raised changes at once for all senders that share it.
+            let scaled =
+                |previous: f64| self.own_limit.map(|own| own * (limit / previous).powf(params.others_share));
+            self.own_limit =
+                self.reported_limit.map_or(Some(limit * params.initial_limit_share(kind)), scaled);
+            self.reported_limit = Some(limit);
         }
-        let Some(left) = report.remaining else { return };
-        self.left = Some((left, at));
-        if left < LEFT_LITTLE {
-            let dt = ((at - self.adjusted_at) as f64 / SECOND).clamp(0.0, 1.0);
-            let even = self.own_part(e) / UNEVEN / 2.0;
-            let less = |l: f64| (l * (1.0 - GIVE_WAY * dt * e.others.powi(3))).max(even.min(l));
-            self.limit = self.limit.map(less);
+        let Some(remaining) = report.remaining else { return };
+        self.reported_remaining = Some((remaining, at));
+        if remaining < LOW_REMAINING {
+            let elapsed_secs = ((at - self.adjusted_at) as f64 / SECOND_US).clamp(0.0, 1.0);
+            let half_even_share = self.own_share(params) / UNEVEN_LOAD_FACTOR / 2.0;
+            let reduced = |own: f64| {
+                (own * (1.0 - LOW_REMAINING_CUT_PER_SEC * elapsed_secs * params.others_share.powi(3)))
+                    .max(half_even_share.min(own))
+            };
+            self.own_limit = self.own_limit.map(reduced);
             self.adjusted_at = self.adjusted_at.max(at);
         }
     }
 
-    fn left(&self, now: Micros) -> f64 {
-        let fades = |(left, told)| (left - LEFT_EVEN) * (-((now - told) as f64) / LEFT_SPAN).exp();
-        LEFT_EVEN + self.left.map_or(0.0, fades)
+    /// Returns the estimated remaining share of the limit's allowance.
+    fn remaining(&self, now: Micros) -> f64 {
+        let decayed = |(remaining, reported_at)| {
+            (remaining - NEUTRAL_REMAINING) * (-((now - reported_at) as f64) / REMAINING_DECAY_US).exp()
+        };
+        NEUTRAL_REMAINING + self.reported_remaining.map_or(0.0, decayed)
     }
 
-    /// Calls a second allowed now, and the span of them (seconds) that may go unspaced.
-    pub(super) fn rate(&self, now: Micros, e: &Env) -> Option<(f64, f64)> {
-        // All who share a limit are told what is left of it before any is refused: the pace follows that.
-        let off = (self.left(now) / LEFT_EVEN - 1.0) * e.others;
-        let eased = 1.0 + off * if off < 0.0 { 1.0 - LEFT_NONE } else { LEFT_ALL - 1.0 };
-        let limit = self.limit.map(|l| (l * eased).max(e.least / 4.0));
-        let State::Warming(since) = self.state else { return limit.map(|l| (l, BURST_S)) };
-        let part = ((now - since) as f64 / e.warm).min(1.0);
-        let warm = e.s.initial_capacity_share + (1.0 - e.s.initial_capacity_share) * part;
-        let rate = (e.s.overload_factor * warm * self.base * self.boost).max(e.least / 4.0);
-        Some((limit.map_or(rate, |l| l.min(rate)), 0.0))
+    /// Returns the calls per second allowed now, and the length (seconds) of a burst that may be sent without
+    /// spacing.
+    pub(super) fn allowed_rate(&self, now: Micros, params: &Params) -> Option<(f64, f64)> {
+        // All senders that share a limit learn its remaining allowance before any is refused, so the rate
+        // follows it.
+        let deviation = (self.remaining(now) / NEUTRAL_REMAINING - 1.0) * params.others_share;
+        let factor =
+            1.0 + deviation * if deviation < 0.0 { 1.0 - EMPTY_RATE_FACTOR } else { FULL_RATE_FACTOR - 1.0 };
+        let limit = self.own_limit.map(|own| (own * factor).max(params.min_rate / 4.0));
+        let Phase::WarmUp(since) = self.phase else { return limit.map(|own| (own, BURST_SECS)) };
+        let progress = ((now - since) as f64 / params.warm_up).min(1.0);
+        let capacity_share = params.settings.initial_capacity_share
+            + (1.0 - params.settings.initial_capacity_share) * progress;
+        let rate =
+            (params.settings.overload_factor * capacity_share * self.rate_before_outage * self.warm_up_boost)
+                .max(params.min_rate / 4.0);
+        Some((limit.map_or(rate, |own| own.min(rate)), 0.0))
     }
 
-    /// When the next spaced send falls due. Where a limit is told, a pace that moved counts for the last too.
-    fn due(&self, rate: f64) -> Micros {
-        let follows = self.state == State::Open && self.ceiling.is_some();
-        self.slot.0 + if follows { (SECOND / rate) as Micros } else { self.slot.1 }
+    /// Returns when the next paced send is due. Where a limit is reported, the spacing after the last send
+    /// follows a rate that has changed since.
+    fn next_send_due(&self, rate: f64) -> Micros {
+        let follows_rate = self.phase == Phase::Up && self.reported_limit.is_some();
+        self.last_paced_send.0
+            + if follows_rate { (SECOND_US / rate) as Micros } else { self.last_paced_send.1 }
     }
 
-    /// The earliest time at which a call may go.
-    pub(super) fn ready_at(&self, now: Micros, e: &Env) -> Micros {
-        match (self.state, self.rate(now, e)) {
-            (State::Outage(next_try), _) => self.wait_until.max(next_try),
-            (_, Some((rate, burst))) => self.wait_until.max(self.due(rate) - (burst * SECOND) as Micros),
+    /// Returns the earliest time at which a call may be sent.
+    pub(super) fn ready_at(&self, now: Micros, params: &Params) -> Micros {
+        match (self.phase, self.allowed_rate(now, params)) {
+            (Phase::Outage(next_probe), _) => self.wait_until.max(next_probe),
+            (_, Some((rate, burst_secs))) => {
+                self.wait_until.max(self.next_send_due(rate) - (burst_secs * SECOND_US) as Micros)
+            }
             _ => self.wait_until,
         }
     }
 
-    pub(super) fn sent(&mut self, call: u64, now: Micros, full: bool, e: &Env) {
-        self.full = full;
-        if let Some((rate, _)) = self.rate(now, e) {
-            self.slot = (now.max(self.due(rate)), (SECOND / rate) as Micros);
+    /// Records that a call was sent; `is_full` if it carries as many messages as the destination allows.
+    pub(super) fn record_send(&mut self, call: u64, now: Micros, is_full: bool, params: &Params) {
+        self.last_call_was_full = is_full;
+        if let Some((rate, _)) = self.allowed_rate(now, params) {
+            self.last_paced_send = (now.max(self.next_send_due(rate)), (SECOND_US / rate) as Micros);
         }
-        self.out.insert(call, now);
-        self.long.add(now, e.warm);
-        self.short.add(now, RECENT);
-        if let State::Outage(_) = self.state {
-            self.plan_trial(now, e);
+        self.calls_in_flight.insert(call, now);
+        self.calls_sent.add(now, params.warm_up);
+        self.recent_calls_sent.add(now, RECENT_WINDOW_US);
+        if let Phase::Outage(_) = self.phase {
+            self.schedule_probe(now, params);
         }
     }
 
-    /// Trials stay within what the destination could bear had it come back just now.
-    pub(super) fn plan_trial(&mut self, now: Micros, e: &Env) {
-        let rate = e.s.overload_factor * e.s.initial_capacity_share * self.base;
-        let most = e.warm / 4.0 / e.part;
-        let gap = (SECOND / rate.max(e.least / 4.0)).clamp(e.target_latency / 16.0, most);
-        // Many know of one outage, or were told one end of it: the first trial falls by chance in its gap.
-        let later = if matches!(self.state, State::Outage(_)) { 0.5 } else { 0.0 };
-        let part = if e.part < 0.5 { later + chance(&mut self.seed) } else { 1.0 };
-        self.state = State::Outage(now.max(self.wait_until) + (gap * part) as Micros);
+    /// Schedules the next probe of an outage. Probes stay within the load that the destination could bear if
+    /// it had recovered just now.
+    pub(super) fn schedule_probe(&mut self, now: Micros, params: &Params) {
+        let rate = params.settings.overload_factor
+            * params.settings.initial_capacity_share
+            * self.rate_before_outage;
+        let max_gap = params.warm_up / 4.0 / params.sender_share;
+        let gap = (SECOND_US / rate.max(params.min_rate / 4.0)).clamp(params.target_latency / 16.0, max_gap);
+        // Many senders observe the same outage, or receive the same announced end of it, so the first probe
+        // of each falls at a random point of its gap.
+        let offset = if matches!(self.phase, Phase::Outage(_)) { 0.5 } else { 0.0 };
+        let share = if params.sender_share < 0.5 { offset + random_unit(&mut self.seed) } else { 1.0 };
+        self.phase = Phase::Outage(now.max(self.wait_until) + (gap * share) as Micros);
     }
 
-    pub(super) fn enter_outage(&mut self, now: Micros, e: &Env) {
-        if self.state == State::Open {
-            self.base = self.own_rate(now, e).max(self.own_part(e) / UNEVEN).max(e.least);
+    /// Enters the outage phase, unless the scope is in it already.
+    pub(super) fn enter_outage(&mut self, now: Micros, params: &Params) {
+        if self.phase == Phase::Up {
+            self.rate_before_outage = self
+                .own_rate(now, params)
+                .max(self.own_share(params) / UNEVEN_LOAD_FACTOR)
+                .max(params.min_rate);
         }
-        if !matches!(self.state, State::Outage(_)) {
-            self.plan_trial(now, e);
+        if !matches!(self.phase, Phase::Outage(_)) {
+            self.schedule_probe(now, params);
         }
     }
 
-    pub(super) fn delivered(&mut self, now: Micros, took: f64, e: &Env) {
-        self.good.add(now, e.health);
-        self.last_good = now;
+    /// Records a delivery that took `latency` microseconds.
+    pub(super) fn record_delivery(&mut self, now: Micros, latency: f64, params: &Params) {
+        self.successes.add(now, params.health_window);
+        self.last_success = now;
         self.refusals = 0;
-        let gain = |old: f64, g: f64| if old == 0.0 { took } else { old + g * (took - old) };
-        self.usual = gain(self.usual, USUAL_GAIN);
-        self.pace = gain(self.pace, PACE_GAIN);
-        // Where calls gather messages, pace is of no use until they go full or rarely.
-        if let Some(l) = self.limit.filter(|l| self.full || SECOND / l > e.target_latency / 4.0) {
-            let dt = ((now - self.adjusted_at) as f64 / SECOND).clamp(0.0, e.warm / SECOND);
-            // Where nothing bounds it from above, each delivery shows room: at many calls a second by time
-            // alone a few refusals would hold for a long while.
-            let part = if self.is_told() || self.state != State::Open {
-                dt * RECOVER
+        let average = |old: f64, gain: f64| if old == 0.0 { latency } else { old + gain * (latency - old) };
+        self.usual_latency = average(self.usual_latency, USUAL_LATENCY_GAIN);
+        self.recent_latency = average(self.recent_latency, RECENT_LATENCY_GAIN);
+        // Where calls carry batches, a higher rate is of no use unless calls are full or rare.
+        if let Some(own) = self
+            .own_limit
+            .filter(|own| self.last_call_was_full || SECOND_US / own > params.target_latency / 4.0)
+        {
+            let elapsed_secs =
+                ((now - self.adjusted_at) as f64 / SECOND_US).clamp(0.0, params.warm_up / SECOND_US);
+            // Where no known limit bounds the rate, each delivery shows spare capacity. If the rate recovered
+            // with time alone, a few refusals at many calls per second would hold it down for a long time.
+            let share = if self.has_known_limit() || self.phase != Phase::Up {
+                elapsed_secs * RECOVERY_PER_SEC
             } else {
-                let quiet = ((now - self.last_refusal) as f64 / SECOND / QUIET_S).clamp(1.0, QUIET_MOST);
-                (dt * RECOVER).max(RECOVER_CALL) * quiet
+                let quiet_factor =
+                    ((now - self.last_refusal) as f64 / SECOND_US / QUIET_SECS).clamp(1.0, MAX_QUIET_FACTOR);
+                (elapsed_secs * RECOVERY_PER_SEC).max(RECOVERY_PER_DELIVERY) * quiet_factor
             };
-            let part = if self.left(now) > LEFT_LITTLE * e.others { part } else { 0.0 };
-            let grown = l + part * (l + e.least).max(self.own_part(e));
-            // Senders are uneven: while there is room, one goes towards what is asked of it, in about an aim.
-            let room = (self.left(now) / LEFT_EVEN - 1.0).max(0.0) * e.others.powi(3);
-            let more = (self.handed_in.get(now, e.warm) * SECOND / e.warm - l).max(0.0);
-            let grown = grown + more * room * (dt * SECOND / e.target_latency).min(1.0);
-            self.limit = Some(self.ceiling.map_or(grown, |c| grown.min(c)));
+            let share = if self.remaining(now) > LOW_REMAINING * params.others_share { share } else { 0.0 };
+            let grown = own + share * (own + params.min_rate).max(self.own_share(params));
+            // Senders are loaded unevenly: while much of the allowance remains, the limit of each approaches
+            // its own demand within about one target latency.
+            let spare =
+                (self.remaining(now) / NEUTRAL_REMAINING - 1.0).max(0.0) * params.others_share.powi(3);
+            let unmet = (self.messages_submitted.value(now, params.warm_up) * SECOND_US / params.warm_up
+                - own)
+                .max(0.0);
+            let grown = grown + unmet * spare * (elapsed_secs * SECOND_US / params.target_latency).min(1.0);
+            self.own_limit = Some(self.reported_limit.map_or(grown, |reported| grown.min(reported)));
             self.adjusted_at = now;
         }
-        match self.state {
-            State::Outage(_) => {
-                (self.state, self.boost) = (State::Warming(now), 1.0);
-                (self.bad, self.spent) = (Fading::default(), Fading::default());
-                // The next call falls by chance in the gap behind the trial: returns at once are no clump.
-                let part = if self.is_told() { chance(&mut self.seed) } else { 1.0 };
-                let gap = self.rate(now, e).map_or(SECOND, |(rate, _)| SECOND / rate);
-                self.slot = (now - (gap * part) as Micros, gap as Micros);
+        match self.phase {
+            Phase::Outage(_) => {
+                (self.phase, self.warm_up_boost) = (Phase::WarmUp(now), 1.0);
+                (self.failures, self.ambiguous_failures) =
+                    (DecayingCounter::default(), DecayingCounter::default());
+                // The next call falls at a random point of the gap after the probe, so that senders whose
+                // probes succeed at once do not send together.
+                let share = if self.has_known_limit() { random_unit(&mut self.seed) } else { 1.0 };
+                let gap = self.allowed_rate(now, params).map_or(SECOND_US, |(rate, _)| SECOND_US / rate);
+                self.last_paced_send = (now - (gap * share) as Micros, gap as Micros);
             }
-            State::Warming(since) if (now - since) as f64 > e.warm => self.state = State::Open,
-            State::Warming(_) if took < ROOM_TIMES * self.usual => {
-                // All of the budget where it is told; else no more than warmth makes of what it took before.
-                let most = if self.is_told() { 1.0 } else { 1.0 / e.s.initial_capacity_share };
-                self.boost = (self.boost * GROW).min(most);
+            Phase::WarmUp(since) if (now - since) as f64 > params.warm_up => self.phase = Phase::Up,
+            Phase::WarmUp(_) if latency < SPARE_CAPACITY_LATENCY_FACTOR * self.usual_latency => {
+                // Where a limit is known, the boost at most restores the full budget that the settings allow.
+                // Where none is known, it may also make up for the reduced initial capacity, but for no more
+                // than that.
+                let max_boost =
+                    if self.has_known_limit() { 1.0 } else { 1.0 / params.settings.initial_capacity_share };
+                self.warm_up_boost = (self.warm_up_boost * WARM_UP_GROWTH_FACTOR).min(max_boost);
             }
             _ => {}
         }
     }
 
-    /// Share of what is sent there that may run and is not delivered: what must not run twice is lost then.
-    pub(super) fn loss_share(&self, now: Micros, e: &Env) -> f64 {
-        let spent = self.spent.get(now, e.health);
-        spent / (spent + self.good.get(now, e.health) + PRIOR_GOOD)
+    /// Returns the share of calls that may run without being delivered: an unsafe message in such a call is
+    /// lost.
+    pub(super) fn loss_share(&self, now: Micros, params: &Params) -> f64 {
+        let ambiguous = self.ambiguous_failures.value(now, params.health_window);
+        ambiguous / (ambiguous + self.successes.value(now, params.health_window) + PRIOR_SUCCESSES)
     }
 
-    pub(super) fn failed(&mut self, now: Micros, outcome: Outcome, e: &Env) {
-        self.bad.add(now, e.health);
+    /// Records a failed call, and enters the outage phase if failures prevail.
+    pub(super) fn record_failure(&mut self, now: Micros, outcome: Outcome, params: &Params) {
+        self.failures.add(now, params.health_window);
         if !outcome.never_ran() {
-            self.spent.add(now, e.health);
+            self.ambiguous_failures.add(now, params.health_window);
         }
-        let bad = self.bad.get(now, e.health);
-        let few = (self.own_rate(now, e) * e.health / SECOND / 2.0).max(OUTAGE_FAILS * e.part);
-        let lately = now - self.last_good < e.target_latency as Micros / 2;
-        if bad >= OUTAGE_FAILS.min(few) && (!lately || bad > self.good.get(now, e.health)) {
-            self.enter_outage(now, e);
+        let failures = self.failures.value(now, params.health_window);
+        let low_traffic_failures = (self.own_rate(now, params) * params.health_window / SECOND_US / 2.0)
+            .max(OUTAGE_FAILURES * params.sender_share);
+        let delivered_lately = now - self.last_success < params.target_latency as Micros / 2;
+        if failures >= OUTAGE_FAILURES.min(low_traffic_failures)
+            && (!delivered_lately || failures > self.successes.value(now, params.health_window))
+        {
+            self.enter_outage(now, params);
         }
     }
 
-    /// A limit is told for all senders: what counts is what this one sends, or its even part.
-    fn back_off(&mut self, now: Micros, e: &Env) {
-        // Where none is told, or the mean is low for its coming back, what was just sent is the best guess.
-        let told = self.state == State::Open && self.is_told();
-        let guess = if told { 0.0 } else { self.short.get(now, RECENT) * SECOND / RECENT };
-        let sent = self.own_rate(now, e).max(self.own_part(e)).max(guess);
-        self.limit = Some((self.limit.map_or(sent, |l| l.min(sent)) * BACK_OFF).max(e.least / 4.0));
+    /// Reduces the limit after a refusal. A limit is announced for all senders together, so the reduction
+    /// starts from what this sender sends, or from its share if that is more.
+    fn back_off(&mut self, now: Micros, params: &Params) {
+        // Where no limit is known, or the average rate is low because the scope is recovering, what was sent
+        // most recently is the best estimate.
+        let use_average = self.phase == Phase::Up && self.has_known_limit();
+        let estimate = if use_average {
+            0.0
+        } else {
+            self.recent_calls_sent.value(now, RECENT_WINDOW_US) * SECOND_US / RECENT_WINDOW_US
+        };
+        let sent = self.own_rate(now, params).max(self.own_share(params)).max(estimate);
+        self.own_limit = Some(
+            (self.own_limit.map_or(sent, |own| own.min(sent)) * BACK_OFF_FACTOR).max(params.min_rate / 4.0),
+        );
         self.adjusted_at = now;
     }
 
-    /// Calls refused in one wave, sent before the first of them was heard of, count as one refusal.
-    pub(super) fn refused(&mut self, now: Micros, sent: Micros, wait: Option<Micros>, e: &Env) {
-        if self.refusals == 0 || sent >= self.last_refusal {
+    /// Records a refused call. Calls refused in one wave, that is, sent before the first refusal was
+    /// received, count as one refusal.
+    pub(super) fn record_refusal(
+        &mut self,
+        now: Micros,
+        sent_at: Micros,
+        wait: Option<Micros>,
+        params: &Params,
+    ) {
+        if self.refusals == 0 || sent_at >= self.last_refusal {
             self.refusals += 1;
             self.last_refusal = now;
-            match self.state {
-                State::Open => self.back_off(now, e),
-                State::Warming(_) => {
-                    self.boost = (self.boost * SHRINK).max(SHRINK);
-                    self.back_off(now, e);
+            match self.phase {
+                Phase::Up => self.back_off(now, params),
+                Phase::WarmUp(_) => {
+                    self.warm_up_boost =
+                        (self.warm_up_boost * WARM_UP_BACK_OFF_FACTOR).max(WARM_UP_BACK_OFF_FACTOR);
+                    self.back_off(now, params);
                 }
-                // What it holds since the outage began fills it, or its door is shut: that tells of no limit.
-                State::Outage(_) => {}
+                // The destination is full of calls it has held since the outage began, or refuses all calls:
+                // neither says anything about its limit.
+                Phase::Outage(_) => {}
             }
         }
         self.wait_until = self.wait_until.max(now + wait.unwrap_or(0));
-        if !matches!(self.state, State::Outage(_)) {
-            // Refused calls may use up the limit: each wave doubles the wait, and none come back together.
-            // Trials of an outage are spaced as it is.
-            let spaced = SECOND / self.limit.unwrap_or(e.least).max(e.least / 4.0);
-            let most = e.target_latency * (1.0 / e.part).min(4.0);
-            let own = (spaced * f64::from(1u32 << self.refusals.min(4)) / 2.0).min(most);
-            let part = if e.part < 0.5 { 0.5 + chance(&mut self.seed) } else { 1.0 };
-            self.wait_until = self.wait_until.max(now + (own * part) as Micros);
+        if !matches!(self.phase, Phase::Outage(_)) {
+            // Refused calls may count against the limit, so each wave doubles the wait, and a random factor
+            // keeps senders from returning together. Probes of an outage have a spacing of their own.
+            let spacing = SECOND_US / self.own_limit.unwrap_or(params.min_rate).max(params.min_rate / 4.0);
+            let max_wait = params.target_latency * (1.0 / params.sender_share).min(4.0);
+            let own_wait = (spacing * f64::from(1u32 << self.refusals.min(4)) / 2.0).min(max_wait);
+            let share = if params.sender_share < 0.5 { 0.5 + random_unit(&mut self.seed) } else { 1.0 };
+            self.wait_until = self.wait_until.max(now + (own_wait * share) as Micros);
         }
-        // A short wait comes from a limit that others use up, a long one from a shut door.
-        let many = if self.is_told() { 1.0 } else { (UNEVEN * e.part).min(1.0) };
-        let shut = f64::from(self.refusals) >= f64::from(SHUT_REFUSALS) * many;
-        if wait.map_or(shut, |w| w as f64 > e.warm / 4.0) {
-            self.enter_outage(now, e);
+        // A short wait comes from a limit that other senders use up, a long one from an outage.
+        let share =
+            if self.has_known_limit() { 1.0 } else { (UNEVEN_LOAD_FACTOR * params.sender_share).min(1.0) };
+        let refuses_all = f64::from(self.refusals) >= f64::from(OUTAGE_REFUSALS) * share;
+        if wait.map_or(refuses_all, |wait| wait as f64 > params.warm_up / 4.0) {
+            self.enter_outage(now, params);
         }
     }
 }
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -1,145 +1,177 @@
-//! Which message goes where: the best offer of a destination, and the call that carries it.
+//! Selection of what to send: the best message and endpoint of a destination, and the call that carries the
+//! message.
 
-use super::scope::{FALTER_SHARE, Scope, State};
-use super::state::{Attempt, Balancer, Dest, Endpoint, Place};
+use super::scope::{DEGRADED_FAILURE_SHARE, Phase, Scope};
+use super::state::{Attempt, Balancer, Dest, Endpoint, Placement};
 use crate::api::{Action, DestId, Effect, EndpointId, MessageId, Micros};
 use std::collections::BTreeSet;
 
-/// Time-out of repeatable messages as a multiple of the usual pace, and two aims at least.
-const TIMEOUT_TIMES: f64 = 10.0;
+/// Timeout of repeatable messages as a multiple of the usual latency; it is at least two target latencies.
+const TIMEOUT_LATENCY_FACTOR: f64 = 10.0;
 
 impl Balancer {
-    /// The best message for a scope: what earns most, on time before late, earliest aim first.
-    pub(super) fn pick(
+    /// Returns the best message to send to a scope and its value: the most valuable one, on time before late,
+    /// and with equal value the one that is due first.
+    pub(super) fn best_message(
         &self,
-        d: &Dest,
+        dest: &Dest,
         scope: &Scope,
         endpoint: &Endpoint,
         now: Micros,
     ) -> Option<(f64, MessageId)> {
-        let at = now + scope.usual as Micros;
-        let risky = scope.loss_share(now, &self.e) > FALTER_SHARE;
-        let trial = matches!(scope.state, State::Outage(_));
-        let effect = |class: usize| self.e.s.classes[class].effect;
-        // What an attempt that comes to nothing costs: nothing, the life of its key, or the message.
+        let at = now + scope.usual_latency as Micros;
+        let is_risky = scope.loss_share(now, &self.params) > DEGRADED_FAILURE_SHARE;
+        let is_probe = matches!(scope.phase, Phase::Outage(_));
+        let effect = |class: usize| self.params.settings.classes[class].effect;
+        // What a failed attempt costs: nothing, part of the life of the message's key, or the message.
         let harm = |class: usize| match effect(class) {
             Effect::Safe => 0,
             Effect::Keyed { .. } => 1,
             Effect::Unsafe => 2,
         };
-        let least = d.lanes.keys().map(|(class, _)| harm(*class)).min().unwrap_or(0);
+        let min_harm = dest.queues.keys().map(|(class, _)| harm(*class)).min().unwrap_or(0);
         let mut best: Option<(f64, Micros, MessageId)> = None;
-        for ((class, _), lane) in &d.lanes {
+        for ((class, _), queue) in &dest.queues {
             let effect = effect(*class);
-            // Guards what an error loses for good: it is no trial while another message can be one,
-            if trial && harm(*class) > least {
+            // Only messages whose loss does the minimum harm serve as probes: an unsafe message, which an
+            // error would lose, is not used while another one is queued.
+            if is_probe && harm(*class) > min_harm {
                 continue;
             }
             let per_zone = matches!(effect, Effect::Keyed { per_zone: true, .. });
-            for &(due, id) in lane.range((at, 0)..).next().into_iter().chain(lane.first()) {
-                let m = &self.messages[&id];
-                let elsewhere =
-                    per_zone && m.first_possible_run.is_some_and(|(_, zone)| zone != endpoint.zone);
-                // and where calls fail it waits for better times, as long as its aim allows.
-                let early = risky && !trial && at + self.e.target_latency as Micros / 4 < m.due;
-                if early && effect == Effect::Unsafe {
+            for &(due, id) in queue.range((at, 0)..).next().into_iter().chain(queue.first()) {
+                let message = &self.messages[&id];
+                let other_zone =
+                    per_zone && message.first_possible_run.is_some_and(|(_, zone)| zone != endpoint.zone);
+                // Where calls fail, an unsafe message is deferred as long as its target latency allows.
+                let may_wait =
+                    is_risky && !is_probe && at + self.params.target_latency as Micros / 4 < message.due;
+                if may_wait && effect == Effect::Unsafe {
                     continue;
                 }
-                let v = self.value(m, at);
-                let better = best.is_none_or(|(b, b_due, _)| v > b || (v == b && due < b_due));
-                if better && !elsewhere && now < self.sendable_until(m) {
-                    best = Some((v, due, id));
+                let value = self.value(message, at);
+                let is_better = best.is_none_or(|(best_value, best_due, _)| {
+                    value > best_value || (value == best_value && due < best_due)
+                });
+                if is_better && !other_zone && now < self.sendable_until(message) {
+                    best = Some((value, due, id));
                 }
             }
         }
-        best.map(|(v, _, id)| (v, id))
+        best.map(|(value, _, id)| (value, id))
     }
 
-    /// Endpoints by expected time: warm, near, idle and not just failed first.
-    pub(super) fn ranked(&self, d: &Dest, now: Micros) -> Vec<(f64, EndpointId)> {
-        let e = &self.e;
+    /// Returns the endpoints of a destination by expected latency. Endpoints with an idle connection, in the
+    /// same zone, with few calls in flight and without a recent failure come first.
+    pub(super) fn ranked_endpoints(&self, dest: &Dest, now: Micros) -> Vec<(f64, EndpointId)> {
+        let params = &self.params;
         let cost = |id: &EndpointId| {
-            let t = &self.endpoints[id];
-            let usual = if t.pace > 0.0 { t.pace } else { d.scope.usual.max(e.target_latency / 16.0) };
-            let warm = t.idle.back().is_some_and(|at| now - at < e.s.idle_timeout);
-            let halves = 2.0 + 2.0 * t.out as f64 + f64::from(!warm) + f64::from(t.zone != e.s.zone) * 2.0;
-            (usual / 2.0 * halves + if now < t.avoid_until { e.target_latency } else { 0.0 }, *id)
+            let endpoint = &self.endpoints[id];
+            let latency = if endpoint.recent_latency > 0.0 {
+                endpoint.recent_latency
+            } else {
+                dest.scope.usual_latency.max(params.target_latency / 16.0)
+            };
+            let is_connected =
+                endpoint.idle_connections.back().is_some_and(|at| now - at < params.settings.idle_timeout);
+            let half_latencies = 2.0
+                + 2.0 * endpoint.calls_in_flight as f64
+                + f64::from(!is_connected)
+                + f64::from(endpoint.zone != params.settings.zone) * 2.0;
+            (
+                latency / 2.0 * half_latencies
+                    + if now < endpoint.avoid_until { params.target_latency } else { 0.0 },
+                *id,
+            )
         };
-        let mut found: Vec<(f64, EndpointId)> = d.endpoints.iter().map(cost).collect();
-        found.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        found
+        let mut ranked: Vec<(f64, EndpointId)> = dest.endpoints.iter().map(cost).collect();
+        ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        ranked
     }
 
-    /// The best send to a destination now, or when to look again.
-    pub(super) fn candidate(
+    /// Returns the best send to a destination now (its value per slot time, endpoint and message), or when to
+    /// check again.
+    pub(super) fn best_send(
         &self,
         dest: DestId,
         now: Micros,
     ) -> Result<(f64, EndpointId, MessageId), Micros> {
-        let d = &self.dests[&dest];
-        let mut again = Micros::MAX;
-        // A call takes one slot and earns all that it carries: else those who gather would starve.
-        let waiting: usize = d.lanes.values().map(BTreeSet::len).sum();
-        let travelling = waiting.min(d.kind.max_batch.max(1)) as f64;
-        for (_, id) in self.ranked(d, now) {
-            let t = &self.endpoints[&id];
-            let scope = if d.kind.independent_endpoints { &t.scope } else { &d.scope };
-            let idle = t.idle.back().is_some_and(|at| now - at < self.e.s.idle_timeout);
-            let ready = scope.ready_at(now, &self.e).max(if idle { now } else { t.closed_until });
+        let dest = &self.dests[&dest];
+        let mut check_at = Micros::MAX;
+        // A call takes one slot and earns the value of all messages that it carries; counted by its first
+        // message alone, destinations with batches would be starved.
+        let queued: usize = dest.queues.values().map(BTreeSet::len).sum();
+        let batch = queued.min(dest.kind.max_batch.max(1)) as f64;
+        for (_, id) in self.ranked_endpoints(dest, now) {
+            let endpoint = &self.endpoints[&id];
+            let scope = if dest.kind.independent_endpoints { &endpoint.scope } else { &dest.scope };
+            let is_connected = endpoint
+                .idle_connections
+                .back()
+                .is_some_and(|at| now - at < self.params.settings.idle_timeout);
+            let ready = scope.ready_at(now, &self.params).max(if is_connected {
+                now
+            } else {
+                endpoint.no_connect_until
+            });
             if ready > now {
-                again = again.min(ready);
-            } else if let Some((value, message)) = self.pick(d, scope, t, now) {
-                let slot_time = scope.usual.max(scope.pace).max(self.e.target_latency / 32.0);
-                return Ok((value * travelling / slot_time, id, message));
+                check_at = check_at.min(ready);
+            } else if let Some((value, message)) = self.best_message(dest, scope, endpoint, now) {
+                let slot_time =
+                    scope.usual_latency.max(scope.recent_latency).max(self.params.target_latency / 32.0);
+                return Ok((value * batch / slot_time, id, message));
             } else {
-                again = again.min(now + self.e.target_latency as Micros / 16);
+                check_at = check_at.min(now + self.params.target_latency as Micros / 16);
             }
         }
-        Err(again)
+        Err(check_at)
     }
 
-    /// One call: the message and, where the kind allows it, others that wait for the same destination.
+    /// Sends one call with the message `first` and, where the kind of destination allows it, other messages
+    /// queued for the same destination.
     pub(super) fn send(
         &mut self,
         now: Micros,
         dest: DestId,
         endpoint: EndpointId,
         first: MessageId,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let (e, call) = (self.e.clone(), self.next_call);
+        let (params, call) = (self.params.clone(), self.next_call);
         self.next_call += 1;
         let kind = self.dests[&dest].kind;
-        let usual = self.scope(dest, endpoint).usual.max(e.target_latency / 16.0);
-        let (mut next, mut travelling) = (Some(first), 0);
-        while let Some(id) = next.filter(|_| travelling < kind.max_batch.max(1)) {
-            self.unqueue(id);
+        let usual_latency = self.scope(dest, endpoint).usual_latency.max(params.target_latency / 16.0);
+        let (mut next, mut batch) = (Some(first), 0);
+        while let Some(id) = next.filter(|_| batch < kind.max_batch.max(1)) {
+            self.dequeue(id);
             let begin_by = self.sendable_until(&self.messages[&id]);
-            let m = self.messages.get_mut(&id).expect("picked from a lane");
-            m.place = Place::Out;
-            let key = m.m.key.clone();
-            if let Some(t) = key.as_ref().and_then(|k| self.turns.get_mut(k)) {
-                t.out += 1;
+            let message = self.messages.get_mut(&id).expect("selected from a queue");
+            message.placement = Placement::InFlight;
+            let key = message.submitted.key.clone();
+            if let Some(queue) = key.as_ref().and_then(|key| self.key_queues.get_mut(key)) {
+                queue.in_flight += 1;
             }
-            let a = Attempt { call, endpoint, dest, class: m.m.class, sent: now, cancelled: false, key };
-            self.attempts.insert((id, m.attempts), a);
-            m.attempts += 1;
-            travelling += 1;
-            // Long for what must not run twice; from the usual pace for the rest.
-            let left = (m.m.expires_at - now).max(1);
-            let repeatable = e.s.classes[m.m.class].effect != Effect::Unsafe;
-            let short = (TIMEOUT_TIMES * usual).max(2.0 * e.target_latency) as Micros;
-            let timeout = if repeatable { short.min(left) } else { left };
-            out.push(Action::Send { id, endpoint, timeout, begin_by });
-            let (d, t) = (&self.dests[&dest], &self.endpoints[&endpoint]);
-            let scope = if kind.independent_endpoints { &t.scope } else { &d.scope };
-            next = self.pick(d, scope, t, now).map(|(_, id)| id);
+            let class = message.submitted.class;
+            let attempt = Attempt { call, endpoint, dest, class, sent_at: now, cancelled: false, key };
+            self.attempts.insert((id, message.attempts), attempt);
+            message.attempts += 1;
+            batch += 1;
+            // Unsafe messages may take until their deadline; the timeout of others follows from the usual
+            // latency.
+            let time_left = (message.submitted.expires_at - now).max(1);
+            let is_repeatable = params.settings.classes[class].effect != Effect::Unsafe;
+            let short = (TIMEOUT_LATENCY_FACTOR * usual_latency).max(2.0 * params.target_latency) as Micros;
+            let timeout = if is_repeatable { short.min(time_left) } else { time_left };
+            actions.push(Action::Send { id, endpoint, timeout, begin_by });
+            let (dest, endpoint) = (&self.dests[&dest], &self.endpoints[&endpoint]);
+            let scope = if kind.independent_endpoints { &endpoint.scope } else { &dest.scope };
+            next = self.best_message(dest, scope, endpoint, now).map(|(_, id)| id);
         }
-        self.calls.insert(call, travelling);
-        *self.counters.entry(dest).or_default() += 1;
-        let t = self.endpoints.get_mut(&endpoint).expect("endpoints are known");
-        t.out += 1;
-        t.idle.pop_back();
-        self.scope(dest, endpoint).sent(call, now, travelling >= kind.max_batch, &e);
+        self.calls.insert(call, batch);
+        *self.calls_by_dest.entry(dest).or_default() += 1;
+        let endpoint_state = self.endpoints.get_mut(&endpoint).expect("only known endpoints are sent to");
+        endpoint_state.calls_in_flight += 1;
+        endpoint_state.idle_connections.pop_back();
+        self.scope(dest, endpoint).record_send(call, now, batch >= kind.max_batch, &params);
     }
 }
--- a/crates/policy/src/balancer/state.rs
+++ b/crates/policy/src/balancer/state.rs
@@ -1,117 +1,167 @@
-//! What one sender holds: destinations, endpoints, messages and attempts.
+//! The state of one sender: destinations, endpoints, messages and attempts.
 
-use super::params::Env;
+use super::params::Params;
 use super::scope::Scope;
 use crate::api::{DestId, DestKind, EndpointId, MessageId, Micros, SubmittedMessage};
-use crate::numeric::Fading;
+use crate::numeric::DecayingCounter;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
+/// A destination.
 #[derive(Default)]
 pub(super) struct Dest {
+    /// Kind of the destination.
     pub(super) kind: DestKind,
+    /// Endpoints in service.
     pub(super) endpoints: BTreeSet<EndpointId>,
-    /// Messages ready to go, by class and by whether their tenant is over its share; earliest aim first.
-    pub(super) lanes: BTreeMap<(usize, bool), BTreeSet<(Micros, MessageId)>>,
+    /// Messages ready to be sent, by class and by whether their tenant exceeds its quota; within a queue
+    /// ordered by the time until which they keep their full value.
+    pub(super) queues: BTreeMap<(usize, bool), BTreeSet<(Micros, MessageId)>>,
+    /// State of the destination; unused where its endpoints are independent.
     pub(super) scope: Scope,
 }
 
+/// An endpoint.
 #[derive(Default)]
 pub(super) struct Endpoint {
+    /// Destination that owns the endpoint.
     pub(super) dest: DestId,
+    /// Index of the endpoint's zone.
     pub(super) zone: usize,
-    pub(super) out: usize,
-    pub(super) pace: f64,
+    /// Number of calls in flight.
+    pub(super) calls_in_flight: usize,
+    /// Moving average of the latency of deliveries; 0 while unknown.
+    pub(super) recent_latency: f64,
     /// When each idle connection was last used.
-    pub(super) idle: VecDeque<Micros>,
+    pub(super) idle_connections: VecDeque<Micros>,
+    /// Time until which other endpoints of the destination are preferred.
     pub(super) avoid_until: Micros,
-    /// Calls in a row that were not delivered.
-    pub(super) fails: u32,
-    pub(super) served_at: Option<Micros>,
-    /// Connections turned away in a row, and until when none is tried.
-    pub(super) crowded: u32,
-    pub(super) closed_until: Micros,
+    /// Number of consecutive calls that failed.
+    pub(super) consecutive_failures: u32,
+    /// Time of the last delivery.
+    pub(super) last_delivery: Option<Micros>,
+    /// Number of consecutive waves of refused connections.
+    pub(super) connect_refusals: u32,
+    /// Time until which no new connection is attempted.
+    pub(super) no_connect_until: Micros,
+    /// State of the endpoint; used only where endpoints are independent.
     pub(super) scope: Scope,
 }
 
+/// Where a held message is.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Place {
-    /// Ready in a lane of its destination.
-    Lane,
-    Parked(Micros),
-    Out,
-    /// Between two of these, or behind another message of its key.
-    Turn,
+pub(super) enum Placement {
+    /// In a queue of its destination, ready to be sent.
+    Queued,
+    /// Deferred until this time.
+    Deferred(Micros),
+    /// Sent, and its attempt is in flight.
+    InFlight,
+    /// Between two of the other placements, or behind another message of its ordered key.
+    Pending,
 }
 
+/// A held message.
 pub(super) struct Message {
-    pub(super) m: SubmittedMessage,
-    pub(super) over: bool,
+    /// The message as it was submitted.
+    pub(super) submitted: SubmittedMessage,
+    /// True if the tenant exceeded its quota when the message was submitted.
+    pub(super) over_quota: bool,
+    /// Time until which the message keeps its full value.
     pub(super) due: Micros,
+    /// Time of its entry in [`Balancer::alarms`].
     pub(super) alarm: Micros,
+    /// Number of attempts made.
     pub(super) attempts: usize,
-    pub(super) place: Place,
-    /// When the first attempt that may have run was sent, and its zone.
+    /// Where the message is.
+    pub(super) placement: Placement,
+    /// When the first attempt that may have run was sent, and the zone of its endpoint.
     pub(super) first_possible_run: Option<(Micros, usize)>,
-    pub(super) started: bool,
+    /// True if a streamed response has begun.
+    pub(super) response_started: bool,
 }
 
-/// An attempt that is out. Those that travel as one call share its number.
+/// An attempt in flight. Attempts that travel in one call have the same call number.
 pub(super) struct Attempt {
+    /// Number of the call that carries the attempt.
     pub(super) call: u64,
+    /// Endpoint that it was sent to.
     pub(super) endpoint: EndpointId,
+    /// Destination that it was sent to.
     pub(super) dest: DestId,
+    /// Index of the message's class.
     pub(super) class: usize,
-    pub(super) sent: Micros,
+    /// Time at which it was sent.
+    pub(super) sent_at: Micros,
+    /// True once its cancellation has been requested.
     pub(super) cancelled: bool,
+    /// Key of the message, if its class is ordered.
     pub(super) key: Option<String>,
 }
 
-/// Messages of one ordered key.
+/// The messages of one ordered key.
 #[derive(Default)]
-pub(super) struct Turns {
-    pub(super) queue: VecDeque<MessageId>,
-    pub(super) out: usize,
-    pub(super) rest_until: Micros,
+pub(super) struct KeyQueue {
+    /// Messages in the order of their submission.
+    pub(super) messages: VecDeque<MessageId>,
+    /// Number of attempts in flight.
+    pub(super) in_flight: usize,
+    /// Time before which no message of the key is sent, since an earlier attempt may still be running.
+    pub(super) blocked_until: Micros,
 }
 
-/// One sender's decisions.
+/// Makes the decisions of one sender.
 #[derive(Default)]
 pub struct Balancer {
-    pub(super) e: Arc<Env>,
+    /// The settings and the values derived from them.
+    pub(super) params: Arc<Params>,
+    /// State of the pseudo-random number generator.
     pub(super) seed: u64,
+    /// Known destinations.
     pub(super) dests: BTreeMap<DestId, Dest>,
+    /// Known endpoints.
     pub(super) endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Endpoints that the list no longer holds, and since when.
-    pub(super) gone: BTreeMap<EndpointId, Micros>,
-    /// The design's counter: calls of this sender to one destination; dropped when idle.
-    pub(super) counters: BTreeMap<DestId, usize>,
+    /// Endpoints that are no longer in the endpoint list, and since when.
+    pub(super) delisted: BTreeMap<EndpointId, Micros>,
+    /// Number of calls in flight to each destination; a destination without any has no entry.
+    pub(super) calls_by_dest: BTreeMap<DestId, usize>,
+    /// Held messages.
     pub(super) messages: BTreeMap<MessageId, Message>,
+    /// Attempts in flight, by message and number of the attempt.
     pub(super) attempts: BTreeMap<(MessageId, usize), Attempt>,
-    /// Attempts still out of each call; a call takes one slot.
+    /// Number of attempts in flight of each call; a call takes one slot.
     pub(super) calls: BTreeMap<u64, usize>,
+    /// Number of the next call.
     pub(super) next_call: u64,
-    pub(super) parked: BTreeSet<(Micros, MessageId)>,
+    /// Deferred messages, by the time at which they are queued.
+    pub(super) deferred: BTreeSet<(Micros, MessageId)>,
+    /// Times after which messages can no longer be sent, or must be answered.
     pub(super) alarms: BTreeSet<(Micros, MessageId)>,
-    pub(super) turns: BTreeMap<String, Turns>,
-    pub(super) tenants: Vec<Fading>,
-    /// Destinations with a message in a lane.
-    pub(super) waiting: BTreeSet<DestId>,
-    /// Endpoints where a call ended in this turn.
-    pub(super) used: BTreeSet<EndpointId>,
-    /// A connection failed not long before this.
-    pub(super) crowded_until: Micros,
+    /// Messages of ordered classes, by key.
+    pub(super) key_queues: BTreeMap<String, KeyQueue>,
+    /// Messages that each tenant has submitted lately.
+    pub(super) tenant_submissions: Vec<DecayingCounter>,
+    /// Destinations with a queued message.
+    pub(super) dests_with_queue: BTreeSet<DestId>,
+    /// Endpoints at which a call ended in this turn.
+    pub(super) used_endpoints: BTreeSet<EndpointId>,
+    /// End of the period in which idle connections are closed, since a connection was refused lately.
+    pub(super) connections_scarce_until: Micros,
+    /// Earliest wake-up that the host was asked for.
     pub(super) wake_at: Micros,
+    /// Time at which to subscribe to the endpoint list.
     pub(super) subscribe_at: Option<Micros>,
-    pub(super) broken: u32,
+    /// Number of consecutive failed subscriptions.
+    pub(super) subscription_failures: u32,
 }
 
 impl Balancer {
-    /// Waits, limits, health and slow start hold for a destination, or route by route.
+    /// Returns the scope of an endpoint: waits, limits, health and the warm-up after an outage apply to its
+    /// whole destination, or to the endpoint alone where endpoints are independent.
     pub(super) fn scope(&mut self, dest: DestId, endpoint: EndpointId) -> &mut Scope {
-        let d = self.dests.get_mut(&dest).expect("only known destinations are sent to");
-        if !d.kind.independent_endpoints {
-            return &mut d.scope;
+        let dest = self.dests.get_mut(&dest).expect("only known destinations are sent to");
+        if !dest.kind.independent_endpoints {
+            return &mut dest.scope;
         }
         &mut self.endpoints.get_mut(&endpoint).expect("only known endpoints are sent to").scope
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decision module: which endpoint a message goes to, whether it is tried again, what is turned away.
+//! The decision module: which endpoint a message goes to, whether it is retried, and what is refused.
 //!
-//! A [`Balancer`] is one sender. It does no I/O and reads no clock: a host hands in [`api::Event`]s with the
-//! time (microseconds on any clock of its own) and carries out the [`api::Action`]s that come back.
+//! A [`Balancer`] makes the decisions of one sender. It does no I/O and reads no clock: a host submits
+//! [`api::Event`]s with the current time (microseconds on any clock of its own) and carries out the
+//! [`api::Action`]s that come back.
 //!
 //! ```
 //! use yarrowhill_policy::Balancer;
@@ -9,7 +10,7 @@
 //!
 //! let class = Class {
 //!     effect: Effect::Unsafe,
-//!     aim: 3_000_000,
+//!     target_latency: 3_000_000,
 //!     deadline: 16_000_000,
 //!     value: 1.0,
 //!     deadline_value_share: 0.3,
@@ -19,10 +20,24 @@
 //! let settings = Settings { classes: vec![class], kinds, ..Settings::default() };
 //! let mut sender = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let endpoint = EndpointEntry { endpoint: 4, dest: 1, zone: 0, kind: 0, listing: Listing::Serving, weight: 0.0 };
-//! sender.on_event(0, Event::FullList(vec![endpoint]), &mut actions);
-//! let history = MessageHistory::default();
-//! let message = SubmittedMessage { id: 0, class: 0, tenant: None, key: None, expires_at: 16_000_000, dest: 1, history };
+//! let entry = EndpointEntry {
+//!     endpoint: 4,
+//!     dest: 1,
+//!     zone: 0,
+//!     kind: 0,
+//!     listing: Listing::Serving,
+//!     weight: 0.0,
+//! };
+//! sender.on_event(0, Event::FullList(vec![entry]), &mut actions);
+//! let message = SubmittedMessage {
+//!     id: 0,
+//!     class: 0,
+//!     tenant: None,
+//!     key: None,
+//!     expires_at: 16_000_000,
+//!     dest: 1,
+//!     history: MessageHistory::default(),
+//! };
 //! sender.on_event(0, Event::Submit(message), &mut actions);
 //! sender.on_event(0, Event::TurnEnd, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 0, endpoint: 4, .. })));
--- a/crates/policy/src/numeric.rs
+++ b/crates/policy/src/numeric.rs
@@ -1,27 +1,31 @@
-//! Parts without a decision: a count that fades, and chance.
+//! Numeric helpers that make no decisions: a decaying counter and a pseudo-random number generator.
 
 use crate::api::Micros;
 
-/// A part of 1 by chance; the same seed gives the same parts.
-pub(crate) fn chance(seed: &mut u64) -> f64 {
+/// Returns a pseudo-random number from 0 up to but not including 1, from an xorshift generator; the same seed
+/// gives the same sequence.
+pub(crate) fn random_unit(seed: &mut u64) -> f64 {
     *seed ^= *seed << 13;
     *seed ^= *seed >> 7;
     *seed ^= *seed << 17;
     (*seed >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A count that fades with time.
+/// A counter that decays exponentially with time.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading(f64, Micros);
+pub(crate) struct DecayingCounter {
+    count: f64,
+    updated_at: Micros,
+}
 
-impl Fading {
-    /// What is left of it, where it falls by e in each span.
-    pub(crate) fn get(&self, now: Micros, span: f64) -> f64 {
-        self.0 * (-((now - self.1) as f64) / span).exp()
+impl DecayingCounter {
+    /// Returns the remaining count, which falls by a factor of e in each `time_constant` (microseconds).
+    pub(crate) fn value(&self, now: Micros, time_constant: f64) -> f64 {
+        self.count * (-((now - self.updated_at) as f64) / time_constant).exp()
     }
 
-    /// Counts one more.
-    pub(crate) fn add(&mut self, now: Micros, span: f64) {
-        *self = Fading(self.get(now, span) + 1.0, now);
+    /// Adds one to the remaining count.
+    pub(crate) fn add(&mut self, now: Micros, time_constant: f64) {
+        *self = DecayingCounter { count: self.value(now, time_constant) + 1.0, updated_at: now };
     }
 }
