--- a/crates/policy/src/balancer/messages.rs
+++ b/crates/policy/src/balancer/messages.rs
@@ -190,8 +190,8 @@
         self.remove_message(now, id);
     }
 
-    /// Sheds a message to make room for new ones: the first of the queue whose first message has the lowest
-    /// value in proportion to the length of the queue.
+    /// Sheds a message to make room for new ones when the cap on held messages is near: the first of the
+    /// queue whose first message has the lowest value in proportion to the length of the queue.
     pub(super) fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let queues = self.dests_with_queue.iter().flat_map(|dest| self.dests[dest].queues.values());
         let values = queues.filter_map(|queue| {
--- a/crates/policy/src/balancer/outcomes.rs
+++ b/crates/policy/src/balancer/outcomes.rs
@@ -7,7 +7,7 @@
 use crate::numeric::random_unit;
 
 /// Delay of the first retry after an attempt that may have run, as a fraction (one N-th) of the target
-/// latency. It doubles with each further attempt.
+/// latency. It doubles with each further attempt, up to one target latency.
 const RETRY_DELAY_DIVISOR: i64 = 16;
 /// Time for which an endpoint is avoided after a failed call, as a fraction (one N-th) of `warmAfter`. It
 /// doubles with each consecutive failure.
--- a/crates/policy/src/balancer/state.rs
+++ b/crates/policy/src/balancer/state.rs
@@ -17,7 +17,8 @@
     /// Messages ready to be sent, by class and by whether their tenant exceeds its quota; within a queue
     /// ordered by the time until which they keep their full value.
     pub(super) queues: BTreeMap<(usize, bool), BTreeSet<(Micros, MessageId)>>,
-    /// State of the destination; unused where its endpoints are independent.
+    /// Latency, health and limit of the destination. Where its endpoints are independent, each has a scope of
+    /// its own as well.
     pub(super) scope: Scope,
 }
 
@@ -44,7 +45,7 @@
     pub(super) connect_refusals: u32,
     /// Time until which no new connection is attempted.
     pub(super) no_connect_until: Micros,
-    /// State of the endpoint; used only where endpoints are independent.
+    /// Latency, health and limit of the endpoint, where the endpoints of its destination are independent.
     pub(super) scope: Scope,
 }
 
