--- a/crates/duties/src/ballot.rs
+++ b/crates/duties/src/ballot.rs
@@ -1,24 +1,26 @@
-//! Who writes, and in which order.
+//! Ballots, voter sets and lease durations.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// One process under a member's name: drawn at each start, so that two lives never share a ballot.
+/// Identifies one process under a member's name. The instance is drawn at each start, so that two processes
+/// of the same member never share a ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// The member.
+    /// Member that the process runs as.
     pub member: u64,
-    /// Its life.
+    /// Random number of this process.
     pub instance: u64,
 }
 
-/// A right to write, once a majority has promised it. Its number is the duty's **token** for as long as its owner holds it.
+/// A ballot: the right to write once a majority has promised it. Its number is the duty's **fencing token**
+/// for as long as its proposer holds the duty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than any number that a majority had promised before.
+    /// Number of the ballot, higher than any that a majority promised before.
     pub number: u64,
-    /// Whose.
+    /// Process that proposed the ballot.
     pub proposer: ProcessId,
 }
 
@@ -28,65 +30,69 @@
     }
 }
 
-/// Whose answers count: a majority of the voters, and while a roster changes by a joint step a majority of those of before too.
+/// The members whose responses count. A decision needs a majority of the current voters and, while the roster
+/// changes by a joint step, a majority of the previous voters too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VoterSet {
-    /// Voters.
+    /// Voters of the roster in force.
     pub current: BTreeSet<u64>,
-    /// Voters of before.
+    /// Voters of the previous roster during a joint step.
     pub previous: Option<BTreeSet<u64>>,
 }
 
 impl VoterSet {
-    /// Of these voters.
+    /// Creates a set of current voters with no joint step in progress.
     pub fn new(current: impl IntoIterator<Item = u64>) -> Self {
         VoterSet { current: current.into_iter().collect(), previous: None }
     }
 
-    /// Everybody whose answer counts.
+    /// Returns all current and previous voters.
     pub fn voters(&self) -> BTreeSet<u64> {
         self.current.iter().chain(self.previous.iter().flatten()).copied().collect()
     }
 
-    /// Whether a member's answer counts.
+    /// Returns whether a member is a current or previous voter.
     pub fn contains(&self, member: u64) -> bool {
         self.current.contains(&member) || self.previous.as_ref().is_some_and(|b| b.contains(&member))
     }
 
-    /// Whether these are a majority.
+    /// Returns whether the voters for which `includes` is true form a majority.
     pub fn is_majority(&self, includes: impl Fn(u64) -> bool) -> bool {
-        let most =
+        let majority_of =
             |voters: &BTreeSet<u64>| voters.iter().filter(|id| includes(**id)).count() > voters.len() / 2;
-        most(&self.current) && self.previous.as_ref().is_none_or(most)
+        majority_of(&self.current) && self.previous.as_ref().is_none_or(majority_of)
     }
 
-    /// The same of those that answered.
-    pub fn has_majority<T>(&self, answered: &BTreeMap<u64, T>) -> bool {
-        self.is_majority(|id| answered.contains_key(&id))
+    /// Returns whether the members that are keys of `responses` form a majority.
+    pub fn has_majority<T>(&self, responses: &BTreeMap<u64, T>) -> bool {
+        self.is_majority(|id| responses.contains_key(&id))
     }
 }
 
-/// Microseconds, on the clock of the process that counts them. It counts stops, and never steps.
+/// Microseconds on the local process's clock, which also counts while the process or the machine is suspended
+/// and never steps.
 pub type Micros = u64;
 
-/// How long a term lasts without a word.
+/// How long a term lasts without a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// For its holder, since it asked (microseconds); answers count for as long.
+    /// Lease duration at the holder, counted from when it sent the write. Responses to requests count for as
+    /// long.
     pub holder_duration: Micros,
-    /// For a voter, since it answered: never shorter, whatever the two clocks do within the drift.
+    /// Lease duration at a voter, counted from when it accepted the write: never shorter in real time than
+    /// the holder's duration, whatever the two clocks do within the drift.
     pub voter_duration: Micros,
 }
 
 impl Lease {
-    /// Of this span, with clock rates right within `drift` (a part of 1).
+    /// Creates a lease for clock rates that are right within `drift`, a fraction of 1.
     pub fn new(holder_duration: Micros, drift: f64) -> Self {
         let voter_duration = (holder_duration as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
         Lease { holder_duration, voter_duration }
     }
 
-    /// A voter that may have forgotten what it promised is silent for so long: a ballot's two phases, each of which counts
-    /// answers for `hold` since it asked, are over by then.
+    /// Returns how long a voter that may have forgotten its promises stays silent. By then both phases of a
+    /// ballot are over, since each counts responses for `holder_duration` from when it asked.
     pub fn silent_period(&self) -> Micros {
         2 * self.voter_duration
     }
@@ -97,7 +103,7 @@
     use super::*;
 
     #[test]
-    fn a_joint_electorate_wants_a_majority_of_both() {
+    fn a_joint_voter_set_needs_a_majority_of_both_rosters() {
         let joint = VoterSet { current: [1, 2, 3].into(), previous: Some([3, 4, 5].into()) };
         assert!(!joint.is_majority(|id| id <= 2));
         assert!(joint.is_majority(|id| [1, 3, 4].contains(&id)));
@@ -106,10 +112,10 @@
     }
 
     #[test]
-    fn a_voter_counts_longer_than_a_holder_whatever_their_clocks_do() {
+    fn a_voter_counts_the_lease_longer_than_its_holder_within_the_drift() {
         for drift in [0.0, 0.01, 0.1] {
             let lease = Lease::new(1_000_000, drift);
-            // A slow holder and a fast voter, in the world's time.
+            // Slow holder clock and fast voter clock, compared in real time.
             assert!(
                 lease.holder_duration as f64 / (1.0 - drift) <= lease.voter_duration as f64 / (1.0 + drift)
             );
--- a/crates/duties/src/ranking.rs
+++ b/crates/duties/src/ranking.rs
@@ -1,54 +1,55 @@
-//! Who should hold a duty, of those that are there: known to everybody by the same rule, agreed on by nobody. Two that try
-//! at once cost time, never safety.
+//! Ranks the members that should hold a duty. Every member computes the ranking by the same rule, without
+//! agreement; two members that try at the same time because their views differ cost time, never safety.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// So many try; the others look now and then.
+/// Number of ranked members that try to acquire a duty; the others query its register only occasionally.
 pub const MAX_RANKED: usize = 3;
 
-/// A duty as configuration tells it.
+/// A duty as configured.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duty {
-    /// Its name.
+    /// Name of the duty.
     pub name: String,
-    /// Members of this zone come first.
+    /// Zone whose members are preferred as holders.
     pub zone: Option<String>,
 }
 
 impl Duty {
-    /// A duty of no zone.
+    /// Creates a duty without a preferred zone.
     pub fn new(name: &str) -> Self {
         Duty { name: name.to_owned(), zone: None }
     }
 
-    /// Its number.
+    /// Returns the duty's ID, a hash of its name.
     pub fn id(&self) -> u64 {
         xxh3_64(self.name.as_bytes())
     }
 }
 
-/// A member that is there.
+/// A live member that could hold a duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which.
+    /// ID of the member.
     pub member: u64,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// It is held to be slow, or suspected: the others first.
+    /// The member is slow or suspected to have failed; healthy members are ranked before it.
     pub degraded: bool,
 }
 
-/// Those that should try, the first of them first: the one that it is pinned to, those of its zone, those in good health, and by
-/// rendezvous hashing, so that duties spread over members and one that goes moves its own alone.
-pub fn rank_candidates(duty: &Duty, pinned: Option<u64>, there: &[Candidate]) -> Vec<u64> {
+/// Returns the members that should try to acquire a duty, best first: the member that it is pinned to, then
+/// healthy members, then members of its zone, then the order of rendezvous hashing. The hashing spreads
+/// duties over members, and a member that leaves moves only its own duties.
+pub fn rank_candidates(duty: &Duty, pinned: Option<u64>, candidates: &[Candidate]) -> Vec<u64> {
     let id = duty.id();
     let key = |c: &Candidate| {
-        let near = duty.zone.as_ref().is_none_or(|zone| *zone == c.zone);
+        let in_zone = duty.zone.as_ref().is_none_or(|zone| *zone == c.zone);
         let hash = xxh3_64(&[id.to_le_bytes(), c.member.to_le_bytes()].concat());
-        (pinned != Some(c.member), c.degraded, !near, std::cmp::Reverse(hash))
+        (pinned != Some(c.member), c.degraded, !in_zone, std::cmp::Reverse(hash))
     };
-    let mut order: Vec<&Candidate> = there.iter().collect();
+    let mut order: Vec<&Candidate> = candidates.iter().collect();
     order.sort_by_key(|c| key(c));
     order.into_iter().take(MAX_RANKED).map(|c| c.member).collect()
 }
@@ -58,30 +59,30 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    fn there(members: u64) -> Vec<Candidate> {
+    fn candidates(members: u64) -> Vec<Candidate> {
         (0..members)
             .map(|member| Candidate { member, zone: format!("z{}", member % 3), degraded: false })
             .collect()
     }
 
     #[test]
-    fn pins_come_first_then_health_and_zone() {
-        let mut all = there(9);
+    fn ranks_the_pinned_member_first_then_by_health_and_zone() {
+        let mut all = candidates(9);
         let duty = Duty { zone: Some("z1".into()), ..Duty::new("a") };
         assert!(rank_candidates(&duty, None, &all).iter().all(|m| m % 3 == 1));
         let first = rank_candidates(&duty, None, &all)[0];
         all.iter_mut().filter(|c| c.member == first).for_each(|c| c.degraded = true);
         assert!(
             !rank_candidates(&duty, None, &all).contains(&first),
-            "two of the zone are well, and then others"
+            "two healthy members of the zone, then healthy members of other zones"
         );
         assert_eq!(rank_candidates(&duty, Some(5), &all)[0], 5);
-        assert_eq!(rank_candidates(&duty, Some(77), &all)[0] % 3, 1, "pinned to one that is not there");
+        assert_eq!(rank_candidates(&duty, Some(77), &all)[0] % 3, 1, "pinned to a member that is not live");
     }
 
     #[test]
-    fn duties_spread_over_members_and_one_that_goes_moves_its_own_alone() {
-        let all = there(10);
+    fn spreads_duties_over_members_and_moves_only_those_of_a_member_that_leaves() {
+        let all = candidates(10);
         let mut held: BTreeMap<u64, usize> = BTreeMap::new();
         let (mut moved, mut own) = (0, 0);
         for n in 0..200 {
--- a/crates/duties/src/register.rs
+++ b/crates/duties/src/register.rs
@@ -1,148 +1,151 @@
-//! What stands of a duty at one voter, and which way it may change.
+//! The register of a duty at one voter, and the changes that it allows.
 
 use crate::ballot::{Ballot, Lease, Micros, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of progress that a term hands on, at the most.
+/// Maximum length of the progress data that a term hands to the next one (bytes).
 pub const MAX_PROGRESS_BYTES: usize = 512;
 
-/// Why a duty stands as it does: told to operators.
+/// Why the last term of a duty ended, as shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Nobody held it, or nobody was heard of any more.
+    /// The duty had no holder, or its holder was no longer reachable.
     #[default]
     Vacant,
-    /// Its holder was asked to give it up.
+    /// An operator asked the holder to release the duty.
     Asked,
-    /// Its holder was told to end.
+    /// The holder was told to shut down.
     Leaving,
-    /// Its holder was too slow for its work, or lost its quorum before its lease ended.
+    /// The holder was too slow for the work, or lost its quorum before its lease ended.
     Unfit,
-    /// It is pinned to another member.
+    /// The duty is pinned to another member.
     Pinned,
 }
 
-/// What a duty's register holds.
+/// The replicated value of a duty's register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterValue {
-    /// Who holds it; nobody where it was given up.
+    /// Process that holds the duty; none after a release.
     pub holder: Option<ProcessId>,
-    /// The token of the term in which this was written.
+    /// Token of the term in which the value was written.
     pub token: u64,
     /// Why the last term ended.
     pub reason: Reason,
-    /// To whom operators have pinned it.
+    /// Member that an operator has pinned the duty to.
     pub pinned: Option<u64>,
-    /// Steps of progress so far, over all terms.
+    /// Number of progress steps so far, over all terms.
     pub step: u64,
-    /// What has been done so far, as its work wants it; [`MAX_PROGRESS_BYTES`] bytes at the most.
+    /// Progress data in a format of the work's own, at most [`MAX_PROGRESS_BYTES`] long.
     pub progress: Vec<u8>,
 }
 
-/// What a voter has accepted.
+/// A write that a voter has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Under which ballot.
+    /// Ballot of the write.
     pub ballot: Ballot,
-    /// The how manieth word of it.
+    /// Sequence number of the write within its ballot.
     pub seq: u64,
-    /// What it holds since.
+    /// Value that was written.
     pub value: RegisterValue,
 }
 
 impl Accepted {
-    /// Which of two holds: the later word of the higher ballot.
+    /// Returns the key that orders writes: the higher ballot wins, then the later write within it.
     pub(crate) fn version(&self) -> (Ballot, u64) {
         (self.ballot, self.seq)
     }
 }
 
-/// What a voter keeps of a duty, on disk.
+/// What a voter keeps of a duty on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Register {
-    /// No ballot below this one is promised or accepted any more.
+    /// Highest promised ballot; no lower one is promised or accepted any more.
     pub promised: Ballot,
-    /// The last word that was accepted.
+    /// Last accepted write.
     pub accepted: Option<Accepted>,
 }
 
-/// A register with the lease of its holder, which needs no disk: a voter that starts counts it anew.
+/// A register together with its holder's lease. The lease is not written to disk: a voter that starts counts
+/// it from the beginning.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeasedRegister {
-    /// What stands on disk.
+    /// Register as stored on disk.
     pub register: Register,
-    /// Whose lease runs, and until when.
+    /// Process that holds the lease, and when the lease ends.
     pub lease: Option<(ProcessId, Micros)>,
 }
 
-/// What a voter answers.
+/// A voter's response to a prepare or an accept request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Response {
-    /// It promises.
+    /// The ballot is promised.
     Promise {
-        /// Which ballot.
+        /// Ballot that is promised.
         ballot: Ballot,
-        /// What it had accepted.
+        /// Last write that the voter had accepted.
         accepted: Option<Accepted>,
     },
-    /// It has accepted.
+    /// The write is accepted.
     Accepted {
-        /// Under which ballot.
+        /// Ballot of the write.
         ballot: Ballot,
-        /// Which word of it.
+        /// Sequence number of the write within its ballot.
         seq: u64,
     },
-    /// It does neither.
+    /// The request is refused.
     Refused {
-        /// What it was asked.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// What it has promised,
+        /// Ballot that the voter has promised.
         promised: Ballot,
-        /// and whose lease runs for how long (microseconds).
+        /// Process that holds the lease, and the time left (microseconds).
         lease: Option<(ProcessId, Micros)>,
     },
 }
 
-/// What comes of a question: the answer, and whether the register must be on disk before it is told.
+/// The result of a request at a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterReply {
-    /// The answer.
+    /// Response to send.
     pub response: Response,
-    /// Whether the register has changed.
+    /// Whether the register has changed and must be on disk before the response is sent.
     pub changed: bool,
 }
 
 impl LeasedRegister {
-    /// As read from disk at a start: whoever holds it may have renewed its lease just before.
+    /// Restores a register that was read from disk. Its holder may have renewed the lease just before, so the
+    /// lease is counted in full from `now`.
     pub fn restored(register: Register, now: Micros, lease: Lease) -> Self {
         let holder = register.accepted.as_ref().and_then(|a| a.value.holder);
-        LeasedRegister { lease: holder.map(|life| (life, now + lease.voter_duration)), register }
+        LeasedRegister { lease: holder.map(|process| (process, now + lease.voter_duration)), register }
     }
 
-    /// Whose lease runs at a moment, and for how long.
+    /// Returns the process whose lease is running at `now`, and the time left.
     pub fn active_lease(&self, now: Micros) -> Option<(ProcessId, Micros)> {
-        self.lease.filter(|(_, until)| now < *until).map(|(life, until)| (life, until - now))
+        self.lease.filter(|(_, until)| now < *until).map(|(process, until)| (process, until - now))
     }
 
-    fn refused(&self, now: Micros, ballot: Ballot) -> VoterReply {
+    fn refuse(&self, now: Micros, ballot: Ballot) -> VoterReply {
         let (promised, lease) = (self.register.promised, self.active_lease(now));
         VoterReply { response: Response::Refused { ballot, promised, lease }, changed: false }
     }
 
-    /// Somebody wants to write: may it? Not while another's lease runs, and not behind a number that was promised.
+    /// Handles a prepare request. It is refused while another process's lease is running, and when its number
+    /// is not above the promised one.
     pub fn prepare(&mut self, now: Micros, ballot: Ballot) -> VoterReply {
-        let again = ballot == self.register.promised;
-        let foreign = self.active_lease(now).is_some_and(|(life, _)| life != ballot.proposer);
-        if foreign || (!again && ballot.number <= self.register.promised.number) {
-            return self.refused(now, ballot);
+        let repeated = ballot == self.register.promised;
+        let foreign = self.active_lease(now).is_some_and(|(process, _)| process != ballot.proposer);
+        if foreign || (!repeated && ballot.number <= self.register.promised.number) {
+            return self.refuse(now, ballot);
         }
         self.register.promised = ballot;
         let response = Response::Promise { ballot, accepted: self.register.accepted.clone() };
-        VoterReply { response, changed: !again }
+        VoterReply { response, changed: !repeated }
     }
 
-    /// Somebody writes.
+    /// Handles an accept request: a write under a ballot.
     pub fn accept(
         &mut self,
         now: Micros,
@@ -152,13 +155,18 @@
         value: RegisterValue,
     ) -> VoterReply {
         let last = self.register.accepted.as_ref().map(Accepted::version);
-        let behind = last.is_some_and(|last| (ballot, seq) < last);
-        let other = ballot.number == self.register.promised.number && ballot != self.register.promised;
-        if ballot < self.register.promised || other || behind || value.progress.len() > MAX_PROGRESS_BYTES {
-            return self.refused(now, ballot);
+        let stale = last.is_some_and(|last| (ballot, seq) < last);
+        let conflicting = ballot.number == self.register.promised.number && ballot != self.register.promised;
+        if ballot < self.register.promised
+            || conflicting
+            || stale
+            || value.progress.len() > MAX_PROGRESS_BYTES
+        {
+            return self.refuse(now, ballot);
         }
-        self.lease = value.holder.map(|life| (life, now + lease.voter_duration));
-        // A renewal that changes nothing needs no disk: who starts counts the lease anew whatever was written last.
+        self.lease = value.holder.map(|process| (process, now + lease.voter_duration));
+        // A renewal that changes nothing needs no disk write: a voter that starts counts the lease in full
+        // anyway.
         let changed = self.register.promised != ballot
             || self.register.accepted.as_ref().is_none_or(|a| a.ballot != ballot || a.value != value);
         self.register.promised = ballot;
@@ -166,7 +174,8 @@
         VoterReply { response: Response::Accepted { ballot, seq }, changed }
     }
 
-    /// What another voter keeps, for one that may have forgotten: the higher of both.
+    /// Merges another voter's register into that of a voter that may have forgotten its own: the higher
+    /// promise and the newer write win.
     pub fn merge(&mut self, other: &Register) {
         self.register.promised = self.register.promised.max(other.promised);
         let newer = other.accepted.as_ref().map(Accepted::version)
@@ -191,44 +200,47 @@
         RegisterValue { holder: Some(ProcessId { member, instance: 1 }), ..RegisterValue::default() }
     }
 
-    fn promised(reply: &VoterReply) -> bool {
+    fn is_promise(reply: &VoterReply) -> bool {
         matches!(reply.response, Response::Promise { .. })
     }
 
     #[test]
-    fn nobody_else_is_promised_while_a_lease_runs_or_behind_a_number() {
-        let mut kept = LeasedRegister::default();
-        assert!(promised(&kept.prepare(0, ballot(1, 1))));
-        assert!(kept.accept(0, LEASE, ballot(1, 1), 1, value(1)).changed);
-        assert!(!promised(&kept.prepare(11, ballot(2, 2))), "its lease runs");
-        assert!(!kept.accept(5, LEASE, ballot(1, 1), 2, value(1)).changed, "a renewal needs no disk");
-        assert!(!promised(&kept.prepare(16, ballot(2, 2))));
-        assert!(promised(&kept.prepare(17, ballot(2, 2))));
-        assert!(promised(&kept.prepare(17, ballot(2, 2))), "asked again");
-        assert!(!promised(&kept.prepare(17, ballot(2, 3))), "the same number by another");
-        let late = kept.accept(18, LEASE, ballot(1, 1), 3, value(1));
+    fn refuses_other_proposers_during_a_lease_and_numbers_not_above_the_promised_one() {
+        let mut leased = LeasedRegister::default();
+        assert!(is_promise(&leased.prepare(0, ballot(1, 1))));
+        assert!(leased.accept(0, LEASE, ballot(1, 1), 1, value(1)).changed);
+        assert!(!is_promise(&leased.prepare(11, ballot(2, 2))), "the lease is running");
+        assert!(!leased.accept(5, LEASE, ballot(1, 1), 2, value(1)).changed, "a renewal needs no disk write");
+        assert!(!is_promise(&leased.prepare(16, ballot(2, 2))));
+        assert!(is_promise(&leased.prepare(17, ballot(2, 2))));
+        assert!(is_promise(&leased.prepare(17, ballot(2, 2))), "repeated request");
+        assert!(!is_promise(&leased.prepare(17, ballot(2, 3))), "same number of another proposer");
+        let late = leased.accept(18, LEASE, ballot(1, 1), 3, value(1));
         assert!(matches!(late.response, Response::Refused { .. }));
-        // After a start the lease is counted anew.
-        let mut again = LeasedRegister::restored(kept.register.clone(), 100, LEASE);
-        assert!(!promised(&again.prepare(111, ballot(3, 2))) && promised(&again.prepare(112, ballot(3, 2))));
+        // After a restart the lease is counted in full.
+        let mut restarted = LeasedRegister::restored(leased.register.clone(), 100, LEASE);
+        assert!(
+            !is_promise(&restarted.prepare(111, ballot(3, 2)))
+                && is_promise(&restarted.prepare(112, ballot(3, 2)))
+        );
     }
 
     #[test]
-    fn a_word_that_comes_late_or_twice_changes_nothing_and_one_that_is_too_long_is_refused() {
-        let mut kept = LeasedRegister::default();
-        kept.accept(0, LEASE, ballot(4, 1), 2, value(1));
-        let before = kept.register.clone();
+    fn ignores_late_and_repeated_writes_and_refuses_progress_that_is_too_long() {
+        let mut leased = LeasedRegister::default();
+        leased.accept(0, LEASE, ballot(4, 1), 2, value(1));
+        let before = leased.register.clone();
         assert!(matches!(
-            kept.accept(1, LEASE, ballot(4, 1), 1, value(1)).response,
+            leased.accept(1, LEASE, ballot(4, 1), 1, value(1)).response,
             Response::Refused { .. }
         ));
         assert!(matches!(
-            kept.accept(1, LEASE, ballot(4, 1), 2, value(1)).response,
+            leased.accept(1, LEASE, ballot(4, 1), 2, value(1)).response,
             Response::Accepted { .. }
         ));
         let long = RegisterValue { progress: vec![0; MAX_PROGRESS_BYTES + 1], ..value(1) };
-        assert!(matches!(kept.accept(1, LEASE, ballot(4, 1), 3, long).response, Response::Refused { .. }));
-        assert_eq!(kept.register, before);
+        assert!(matches!(leased.accept(1, LEASE, ballot(4, 1), 3, long).response, Response::Refused { .. }));
+        assert_eq!(leased.register, before);
         let mut other = LeasedRegister::default();
         other.merge(&before);
         assert_eq!(other.register, before);
--- a/crates/duties/src/term.rs
+++ b/crates/duties/src/term.rs
@@ -1,149 +1,162 @@
-//! A term: what its holder writes, and how long it holds.
+//! A term: what its holder writes, and how long the duty is held.
 
 use crate::ballot::{Ballot, Lease, Micros, VoterSet};
 use crate::register::{MAX_PROGRESS_BYTES, Reason, RegisterValue};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Words of a term that are out at a time: one each third of a lease, and those that carry progress.
+/// Maximum number of undecided writes of a term: a renewal every third of a lease, and those that carry
+/// progress.
 const MAX_PENDING_WRITES: usize = 6;
 
-/// Why progress is not taken.
+/// Why a progress step is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepError {
     /// The duty is not held under this token, or no longer.
-    #[error("not held under token {0}")]
+    #[error("duty is not held under token {0}")]
     NotHeld(u64),
-    /// The last step is not decided yet.
-    #[error("the step before is not decided yet")]
+    /// The previous step is not decided yet.
+    #[error("the previous progress step is not decided yet")]
     PreviousPending,
-    /// Too long.
-    #[error("{0} bytes of progress: {MAX_PROGRESS_BYTES} are the most")]
+    /// The progress data is too long.
+    #[error("progress data is {0} bytes long; the limit is {MAX_PROGRESS_BYTES}")]
     TooLong(usize),
 }
 
+/// A write that no majority has accepted yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
-    asked: Micros,
-    by: BTreeSet<u64>,
+struct PendingWrite {
+    sent_at: Micros,
+    accepted_by: BTreeSet<u64>,
     value: RegisterValue,
 }
 
-/// What a term has come to by a majority's word.
+/// What a majority's acceptance of a write has decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The duty is held from now on.
     Acquired,
-    /// A step of progress is decided.
+    /// A progress step, by its number.
     Step(u64),
-    /// The duty is given up.
+    /// The duty is released.
     Released(Reason),
 }
 
-/// One ballot from the first word written under it to the last. Once its lease has run out it never writes again: another
-/// term needs another ballot.
+/// All writes under one ballot, from the first to the last. Once its lease has expired, a term never writes
+/// again: another term needs another ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Term {
     ballot: Ballot,
     seq: u64,
-    /// What a majority has accepted last, and its word's number; none before the first.
+    /// Sequence number and value of the last write that a majority has accepted; none before the first.
     decided: Option<(u64, RegisterValue)>,
-    /// By its own clock: it acts no later, nor writes.
+    /// End of the lease by the local clock: from then on the holder neither acts nor writes.
     until: Micros,
-    rounds: BTreeMap<u64, Round>,
-    /// When it writes again.
-    next: Micros,
-    yielding: Option<Reason>,
+    pending: BTreeMap<u64, PendingWrite>,
+    /// When the next write is due.
+    next_write: Micros,
+    releasing: Option<Reason>,
 }
 
-/// A word for all voters.
+/// A write to be sent to all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Under which ballot.
+    /// Ballot of the write.
     pub ballot: Ballot,
-    /// Which word of it.
+    /// Sequence number of the write within its ballot.
     pub seq: u64,
-    /// What is to hold.
+    /// Value to write.
     pub value: RegisterValue,
 }
 
 impl Term {
-    /// A ballot that a majority has promised, and the first word under it: what stood before, with another holder.
-    pub fn begin(now: Micros, lease: Lease, ballot: Ballot, before: RegisterValue) -> (Self, Write) {
-        let value = RegisterValue { holder: Some(ballot.proposer), token: ballot.number, ..before };
-        // Its first word is decided within a lease, or never.
+    /// Begins a term under a ballot that a majority has promised, and returns its first write: the previous
+    /// value with the new holder and token.
+    pub fn begin(now: Micros, lease: Lease, ballot: Ballot, previous: RegisterValue) -> (Self, Write) {
+        let value = RegisterValue { holder: Some(ballot.proposer), token: ballot.number, ..previous };
+        // The first write is decided within one lease, or never.
         let until = now.saturating_add(lease.holder_duration);
-        let mut term =
-            Term { ballot, seq: 0, decided: None, until, rounds: BTreeMap::new(), next: now, yielding: None };
+        let mut term = Term {
+            ballot,
+            seq: 0,
+            decided: None,
+            until,
+            pending: BTreeMap::new(),
+            next_write: now,
+            releasing: None,
+        };
         let write = term.write(now, lease, value);
         (term, write)
     }
 
-    /// Its token.
+    /// Returns the fencing token.
     pub fn token(&self) -> u64 {
         self.ballot.number
     }
 
-    /// Its ballot.
+    /// Returns the ballot.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Until when it holds, by its own clock.
+    /// Returns when the lease ends by the local clock.
     pub fn until(&self) -> Micros {
         self.until
     }
 
-    /// Whether it may act at a moment: a majority has accepted a word of it that was asked for less than a lease ago.
+    /// Returns whether the holder may act at `now`: a majority has accepted a write that was sent less than a
+    /// lease ago, and the duty is not being released.
     pub fn is_held(&self, now: Micros) -> bool {
-        self.decided.is_some() && self.yielding.is_none() && now < self.until
+        self.decided.is_some() && self.releasing.is_none() && now < self.until
     }
 
-    /// Whether it is over: it writes and acts no more.
+    /// Returns whether the term is over and neither writes nor acts any more.
     pub fn is_expired(&self, now: Micros) -> bool {
         now >= self.until
     }
 
-    /// What a majority has accepted last.
+    /// Returns the last value that a majority has accepted.
     pub fn decided(&self) -> Option<&RegisterValue> {
         self.decided.as_ref().map(|(_, value)| value)
     }
 
-    /// What was written last, decided or not.
-    fn newest(&self) -> RegisterValue {
-        let out = self.rounds.last_key_value().map(|(_, round)| &round.value);
-        out.or(self.decided()).cloned().unwrap_or_default()
+    /// Returns the value that was written last, decided or not.
+    fn latest(&self) -> RegisterValue {
+        let pending = self.pending.last_key_value().map(|(_, write)| &write.value);
+        pending.or(self.decided()).cloned().unwrap_or_default()
     }
 
     fn write(&mut self, now: Micros, lease: Lease, value: RegisterValue) -> Write {
         self.seq += 1;
-        self.next = now.saturating_add(lease.holder_duration / 3);
-        while self.rounds.len() >= MAX_PENDING_WRITES {
-            self.rounds.pop_first();
+        self.next_write = now.saturating_add(lease.holder_duration / 3);
+        while self.pending.len() >= MAX_PENDING_WRITES {
+            self.pending.pop_first();
         }
-        self.rounds.insert(self.seq, Round { asked: now, by: BTreeSet::new(), value: value.clone() });
+        let write = PendingWrite { sent_at: now, accepted_by: BTreeSet::new(), value: value.clone() };
+        self.pending.insert(self.seq, write);
         Write { ballot: self.ballot, seq: self.seq, value }
     }
 
-    /// When it wants to write again.
+    /// Returns when [`Term::tick`] is to be called next.
     pub fn next_wake(&self) -> Micros {
-        self.next.min(self.until)
+        self.next_write.min(self.until)
     }
 
-    /// Time has passed: a renewal, if one is due. Before its first word is decided that word again, with its first moment.
+    /// Returns a renewal if one is due. Before the first write is decided, repeats that write and keeps the
+    /// time at which it was first sent.
     pub fn tick(&mut self, now: Micros, lease: Lease) -> Option<Write> {
-        if now < self.next || self.is_expired(now) {
+        if now < self.next_write || self.is_expired(now) {
             return None;
         }
         if self.decided.is_none() {
-            self.next = now.saturating_add(lease.holder_duration / 3);
-            let (seq, round) = self.rounds.first_key_value()?;
-            return Some(Write { ballot: self.ballot, seq: *seq, value: round.value.clone() });
+            self.next_write = now.saturating_add(lease.holder_duration / 3);
+            let (seq, write) = self.pending.first_key_value()?;
+            return Some(Write { ballot: self.ballot, seq: *seq, value: write.value.clone() });
         }
-        let value = self.newest();
+        let value = self.latest();
         Some(self.write(now, lease, value))
     }
 
-    /// A voter has accepted a word.
+    /// Records that a voter has accepted a write, and returns what that decides.
     pub fn handle_accepted(
         &mut self,
         now: Micros,
@@ -155,40 +168,41 @@
         if self.is_expired(now) || !voters.contains(by) {
             return Vec::new();
         }
-        let Some(round) = self.rounds.get_mut(&seq) else { return Vec::new() };
-        round.by.insert(by);
-        let counts = now < round.asked.saturating_add(lease.holder_duration);
-        if !counts || !voters.is_majority(|id| round.by.contains(&id)) {
+        let Some(write) = self.pending.get_mut(&seq) else { return Vec::new() };
+        write.accepted_by.insert(by);
+        let in_time = now < write.sent_at.saturating_add(lease.holder_duration);
+        if !in_time || !voters.is_majority(|id| write.accepted_by.contains(&id)) {
             return Vec::new();
         }
-        let Some(round) = self.rounds.remove(&seq) else { return Vec::new() };
-        // Earlier words are in this one.
-        self.rounds.retain(|other, _| *other > seq);
+        let Some(write) = self.pending.remove(&seq) else { return Vec::new() };
+        // This write includes all earlier ones.
+        self.pending.retain(|other, _| *other > seq);
         let first = self.decided.is_none();
-        let step = self.decided.as_ref().map_or(round.value.step, |(_, value)| value.step);
-        let ends = round.asked.saturating_add(lease.holder_duration);
-        // The first word's end is all that the term has; later ones put it off.
-        self.until = if first { ends } else { self.until.max(ends) };
-        let mut told = Vec::new();
+        let step = self.decided.as_ref().map_or(write.value.step, |(_, value)| value.step);
+        let lease_end = write.sent_at.saturating_add(lease.holder_duration);
+        // The first decided write sets the end of the lease; later ones only extend it.
+        self.until = if first { lease_end } else { self.until.max(lease_end) };
+        let mut decisions = Vec::new();
         if first {
-            told.push(Decision::Acquired);
+            decisions.push(Decision::Acquired);
         }
-        if round.value.step > step {
-            told.push(Decision::Step(round.value.step));
+        if write.value.step > step {
+            decisions.push(Decision::Step(write.value.step));
         }
-        if round.value.holder.is_none() {
-            told.push(Decision::Released(round.value.reason));
+        if write.value.holder.is_none() {
+            decisions.push(Decision::Released(write.value.reason));
             self.until = self.until.min(now);
         }
-        self.decided = Some((seq, round.value));
-        told
+        self.decided = Some((seq, write.value));
+        decisions
     }
 
-    /// What has been done so far: to be decided before more is done.
+    /// Writes a progress step, and returns its number. The step must be decided before more work is done.
     ///
     /// # Errors
     ///
-    /// It is not held under this token now, the last step is not decided, or it is too long.
+    /// The duty is not held under this token now, the previous step is not decided, or the progress data is
+    /// too long.
     pub fn record_step(
         &mut self,
         now: Micros,
@@ -202,41 +216,46 @@
         if progress.len() > MAX_PROGRESS_BYTES {
             return Err(StepError::TooLong(progress.len()));
         }
-        let before = self.newest();
-        if self.decided().is_some_and(|decided| decided.step != before.step) {
+        let latest = self.latest();
+        if self.decided().is_some_and(|decided| decided.step != latest.step) {
             return Err(StepError::PreviousPending);
         }
-        let step = before.step + 1;
-        Ok((step, self.write(now, lease, RegisterValue { step, progress, ..before })))
+        let step = latest.step + 1;
+        Ok((step, self.write(now, lease, RegisterValue { step, progress, ..latest })))
     }
 
-    /// Operators pin the duty to a member, or take the pin out.
+    /// Pins the duty to a member, or removes the pin.
     pub fn pin(&mut self, now: Micros, lease: Lease, to: Option<u64>) -> Option<Write> {
         if !self.is_held(now) {
             return None;
         }
-        let before = self.newest();
-        (before.pinned != to).then(|| self.write(now, lease, RegisterValue { pinned: to, ..before }))
+        let latest = self.latest();
+        (latest.pinned != to).then(|| self.write(now, lease, RegisterValue { pinned: to, ..latest }))
     }
 
-    /// It is given up: nothing is done under it from this moment, and others may take it as soon as a majority has heard.
+    /// Releases the duty: the holder does not act from now on, and others may acquire the duty as soon as a
+    /// majority has accepted the release.
     pub fn release(&mut self, now: Micros, lease: Lease, reason: Reason) -> Option<Write> {
         if !self.is_held(now) {
             return None;
         }
-        self.yielding = Some(reason);
-        let before = self.newest();
-        Some(self.write(now, lease, RegisterValue { holder: None, reason, ..before }))
+        self.releasing = Some(reason);
+        let latest = self.latest();
+        Some(self.write(now, lease, RegisterValue { holder: None, reason, ..latest }))
     }
 
-    /// The same on a clock that reads `to` where this one reads `to + by`; for searches, which set clocks back.
+    /// Returns the same term on a clock that reads `to` where this one reads `to + by`. State-space searches
+    /// use it to merge states that differ only in time.
     #[must_use]
     pub fn rebased(&self, to: Micros, by: Micros, lease: Lease) -> Self {
-        // What is past by more than a lease is all one.
+        // Times that are past by more than a lease are equivalent.
         let back = |at: Micros| at.saturating_sub(by).max(to.saturating_sub(2 * lease.holder_duration));
-        let rounds = self.rounds.iter().map(|(seq, r)| (*seq, Round { asked: back(r.asked), ..r.clone() }));
-        // It may write at any time.
-        Term { until: back(self.until), next: to, rounds: rounds.collect(), ..self.clone() }
+        let pending = self
+            .pending
+            .iter()
+            .map(|(seq, write)| (*seq, PendingWrite { sent_at: back(write.sent_at), ..write.clone() }));
+        // The search may let a term write at any time.
+        Term { until: back(self.until), next_write: to, pending: pending.collect(), ..self.clone() }
     }
 }
 
@@ -247,22 +266,22 @@
 
     const LEASE: Lease = Lease { holder_duration: 30, voter_duration: 40 };
 
-    fn taken() -> (Term, VoterSet) {
+    fn acquired_term() -> (Term, VoterSet) {
         let voters = VoterSet::new([1, 2, 3]);
         let ballot = Ballot { number: 7, proposer: ProcessId { member: 1, instance: 5 } };
         let (mut term, first) =
             Term::begin(100, LEASE, ballot, RegisterValue { step: 4, ..RegisterValue::default() });
         assert_eq!((first.seq, first.value.token, term.is_held(100)), (1, 7, false));
         assert_eq!(term.handle_accepted(105, LEASE, &voters, 1, 1), vec![]);
-        assert_eq!(term.handle_accepted(106, LEASE, &voters, 1, 1), vec![], "once each");
-        assert_eq!(term.handle_accepted(106, LEASE, &voters, 9, 1), vec![], "no voter");
+        assert_eq!(term.handle_accepted(106, LEASE, &voters, 1, 1), vec![], "a voter counts once");
+        assert_eq!(term.handle_accepted(106, LEASE, &voters, 9, 1), vec![], "not a voter");
         assert_eq!(term.handle_accepted(110, LEASE, &voters, 2, 1), vec![Decision::Acquired]);
         (term, voters)
     }
 
     #[test]
-    fn a_lease_counts_from_the_question_and_a_term_that_is_over_stays_so() {
-        let (mut term, voters) = taken();
+    fn counts_the_lease_from_when_a_write_was_sent_and_never_revives_an_expired_term() {
+        let (mut term, voters) = acquired_term();
         assert!(term.is_held(129) && !term.is_held(130));
         let renewal = term.tick(115, LEASE).expect("due");
         term.handle_accepted(125, LEASE, &voters, 1, renewal.seq);
@@ -271,27 +290,27 @@
         let late = term.tick(130, LEASE).expect("due");
         term.handle_accepted(150, LEASE, &voters, 1, late.seq);
         term.handle_accepted(150, LEASE, &voters, 2, late.seq);
-        assert!(term.is_expired(150) && term.tick(151, LEASE).is_none(), "it was stopped");
+        assert!(term.is_expired(150) && term.tick(151, LEASE).is_none(), "it was suspended past its lease");
     }
 
     #[test]
-    fn steps_are_decided_one_by_one_and_giving_up_stops_at_once() {
-        let (mut term, voters) = taken();
+    fn decides_steps_one_at_a_time_and_stops_acting_at_once_on_release() {
+        let (mut term, voters) = acquired_term();
         assert_eq!(term.record_step(111, LEASE, 6, vec![]).err(), Some(StepError::NotHeld(6)));
         let (step, write) = term.record_step(111, LEASE, 7, vec![1]).expect("held");
         assert_eq!((step, write.value.progress.clone()), (5, vec![1]));
         assert_eq!(term.record_step(112, LEASE, 7, vec![2]).err(), Some(StepError::PreviousPending));
         term.handle_accepted(113, LEASE, &voters, 1, write.seq);
-        // A renewal carries it on, and decides it too.
+        // A renewal carries the step, and decides it too.
         let renewal = term.tick(121, LEASE).expect("due");
         assert_eq!(renewal.value.step, 5);
         term.handle_accepted(122, LEASE, &voters, 2, renewal.seq);
         assert_eq!(term.handle_accepted(122, LEASE, &voters, 3, renewal.seq), vec![Decision::Step(5)]);
         assert_eq!(term.decided().map(|p| p.step), Some(5));
-        let given = term.release(125, LEASE, Reason::Asked).expect("held");
-        assert!(!term.is_held(125) && given.value.holder.is_none() && given.value.step == 5);
-        term.handle_accepted(126, LEASE, &voters, 1, given.seq);
-        let told = term.handle_accepted(127, LEASE, &voters, 2, given.seq);
-        assert_eq!((told, term.is_expired(127)), (vec![Decision::Released(Reason::Asked)], true));
+        let release = term.release(125, LEASE, Reason::Asked).expect("held");
+        assert!(!term.is_held(125) && release.value.holder.is_none() && release.value.step == 5);
+        term.handle_accepted(126, LEASE, &voters, 1, release.seq);
+        let decisions = term.handle_accepted(127, LEASE, &voters, 2, release.seq);
+        assert_eq!((decisions, term.is_expired(127)), (vec![Decision::Released(Reason::Asked)], true));
     }
 }
