--- a/crates/duties/src/core.rs
+++ b/crates/duties/src/core.rs
@@ -1,4 +1,4 @@
-//! All duties of one member: what it votes on, what it looks for, what it holds.
+//! All duties of one member: its part as a voter, and its part as a candidate or holder.
 
 use crate::ballot::{Ballot, Lease, Micros, ProcessId, VoterSet};
 use crate::proposer::{
@@ -12,634 +12,653 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Duties at the most: what is kept, and what a voter that starts is told, is bounded by it.
+/// Maximum number of duties. It bounds what a voter keeps, and what it sends to a voter that recovers.
 pub const MAX_DUTIES: usize = 32;
-/// Voters whose writes are told of: those of two rosters.
+/// Maximum number of voters whose write counts a message carries: those of two rosters.
 const MAX_WRITE_COUNTS: usize = 16;
-/// A renewal is a third of a lease; one that looks at the clock this much later than it meant to (parts of a lease) is unfit.
-const LATE_PART: u64 = 2;
+/// A member whose tick is late by this part of a lease (a half) is unfit to hold duties. Renewals are due
+/// every third of a lease.
+const UNFIT_DELAY_DIVISOR: u64 = 2;
 
-/// What members say to each other.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which process speaks.
+    /// Process that sent the message.
     pub from: ProcessId,
-    /// About which duty; 0 where it is about none.
+    /// ID of the duty that the message is about; 0 if it is about none.
     pub duty: u64,
-    /// What it says.
+    /// Content of the message.
     pub payload: Payload,
 }
 
-/// What it says.
+/// The content of a message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// To a voter: who holds it?
+    /// Asks a voter who holds the duty.
     Query,
-    /// By a voter.
+    /// Answers a query, from a voter.
     QueryReply(RegisterSummary),
-    /// To a voter: may this ballot write?
+    /// Asks a voter to promise a ballot.
     Prepare(Ballot),
-    /// To a voter: this holds.
+    /// Asks a voter to accept a write.
     Accept {
-        /// Under which ballot.
+        /// Ballot of the write.
         ballot: Ballot,
-        /// Which word of it.
+        /// Sequence number of the write within its ballot.
         seq: u64,
-        /// What holds.
+        /// Value to write.
         value: RegisterValue,
-        /// How often each voter wrote, as far as the writer has heard: so that all remember it, and not the writer alone.
+        /// Write count of each voter, as far as the proposer knows: it is passed on so that all voters
+        /// remember it, and not the proposer alone.
         write_counts: Vec<(u64, u64)>,
     },
-    /// By a voter, with how often it wrote.
+    /// Answers a prepare or accept request, with the voter's write count.
     Response(Response, u64),
-    /// A voter starts, and asks the others.
+    /// Asks the other voters for what a voter that starts may have lost.
     RecoveryRequest {
-        /// Numbers the question.
+        /// Number of the request.
         nonce: u64,
     },
-    /// By another voter, once for each register that it keeps.
+    /// Answers a recovery request, from another voter. One is sent for each register that it keeps.
     RecoveryResponse {
-        /// The question's number.
+        /// Number of the request.
         nonce: u64,
-        /// How it stands.
+        /// State of the responding voter.
         flags: VoterFlags,
-        /// Boot and life that it remembers of the one that asked, and how often that wrote as far as it has heard.
+        /// Latest boot number and instance, and highest write count, that the responding voter remembers of
+        /// the requesting voter.
         remembers: (Option<(u64, u64)>, u64),
-        /// What it keeps of the letter's duty.
+        /// Register of the envelope's duty.
         register: Option<Register>,
-        /// Which part of how many.
+        /// Index of this part, and number of parts.
         part: (u8, u8),
     },
-    /// To a holder, by an operator.
+    /// Passes an operator's request on to the holder.
     OperatorRequest(OperatorRequest),
-    /// By one that gave a duty up, to those that should take it: they need not find that out.
+    /// Tells the members that should acquire the duty next that its holder has released it, so that they need
+    /// not wait for their next query.
     Released {
-        /// To whom it is pinned.
+        /// Member that the duty is pinned to.
         pinned: Option<u64>,
     },
 }
 
-/// What an operator wants of a duty.
+/// What an operator can request of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// That its holder gives it up.
+    /// The holder releases the duty.
     Yield,
-    /// That a member holds it whenever it is there; none: whoever follows from the rule.
+    /// A member holds the duty whenever it is live; none leaves the choice to the ranking.
     Pin(Option<u64>),
 }
 
-/// Why a wish is not passed on.
+/// Why an operator's request cannot be passed on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperatorRequestError {
-    /// No such duty.
-    #[error("there is no duty {0:?}")]
+    /// There is no such duty.
+    #[error("unknown duty {0:?}")]
     UnknownDuty(String),
-    /// Nobody holds it, as far as this member knows.
-    #[error("nobody is known to hold it now; ask again")]
+    /// No member holds the duty, as far as this member knows.
+    #[error("no holder of the duty is known at present; try again")]
     NoKnownHolder,
-    /// The member is not there.
-    #[error("the member is not there")]
+    /// The member to pin the duty to is not live.
+    #[error("the member to pin the duty to is not present in the fleet")]
     MemberNotPresent,
 }
 
-/// What the host is to do, in this order.
+/// An action for the host. Outputs are to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be on disk before anything that stands behind it is sent, and [`Duties::persisted`] to be told of it; if it can't be, what
-    /// stands behind it is dropped.
+    /// Write the state to disk before any later output is carried out, and call [`Duties::persisted`]. If
+    /// that fails, the later outputs are to be dropped.
     Persist(StoredVoter),
-    /// What is on disk is taken out before anything that stands behind this is done.
+    /// Erase the stored state before any later output is carried out.
     Erase,
-    /// A letter; one to this member itself is handed in again.
+    /// Send a message. One to the local member is to be passed to [`Duties::handle`].
     Send {
-        /// To whom.
+        /// Member to send to.
         to: u64,
-        /// What.
+        /// Message to send.
         envelope: Envelope,
     },
-    /// For whoever wants to know.
+    /// Report an event.
     Event(Event),
 }
 
-/// What has changed.
+/// A change to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A duty is held here from now on.
+    /// The local member holds a duty from now on.
     Acquired {
-        /// Which.
+        /// ID of the duty.
         duty: u64,
-        /// Under which token.
+        /// Token of the term.
         token: u64,
-        /// Steps of progress so far.
+        /// Number of progress steps so far.
         step: u64,
     },
-    /// It is not held any more: its lease ended.
+    /// The lease on a duty has expired.
     Expired {
-        /// Which.
+        /// ID of the duty.
         duty: u64,
-        /// Under which token.
+        /// Token of the term.
         token: u64,
     },
-    /// It was given up.
+    /// The local member has released a duty.
     Released {
-        /// Which.
+        /// ID of the duty.
         duty: u64,
-        /// Under which token.
+        /// Token of the term.
         token: u64,
-        /// Why.
+        /// Why it was released.
         reason: Reason,
     },
-    /// A step of progress is decided.
+    /// A progress step is decided.
     StepDecided {
-        /// Which duty.
+        /// ID of the duty.
         duty: u64,
-        /// Under which token.
+        /// Token of the term.
         token: u64,
-        /// The how manieth.
+        /// Number of the step.
         step: u64,
     },
-    /// This voter's word counts from now on.
+    /// The local voter answers requests from now on.
     VotingStarted,
-    /// This voter may have forgotten what it promised.
+    /// The local voter may have lost promises, and answers no requests until it has recovered.
     VotingSuspended,
 }
 
-/// A duty that is held: to be shown wherever it acts, and to be looked at again at the last step.
+/// A duty that the local member holds. Its token is to be sent along with each action, and
+/// [`HeldDuty::may_act`] is to be checked immediately before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldDuty {
-    /// Which.
+    /// ID of the duty.
     pub duty: u64,
-    /// Under which token: higher than that of any term before.
+    /// Fencing token, higher than that of any earlier term.
     pub token: u64,
-    /// Until when, by the holder's clock.
+    /// End of the lease by the holder's clock.
     pub until: Micros,
-    /// Steps of progress so far,
+    /// Number of progress steps so far.
     pub step: u64,
-    /// and what has been done.
+    /// Progress data of the last step.
     pub progress: Vec<u8>,
 }
 
 impl HeldDuty {
-    /// Whether an act that takes so long may begin at a moment: it ends before anybody else can hold the duty.
-    pub fn may_act(&self, now: Micros, takes: Micros) -> bool {
-        now.saturating_add(takes) < self.until
+    /// Returns whether an action that takes `duration` may begin at `now`, so that it ends before another
+    /// member can hold the duty.
+    pub fn may_act(&self, now: Micros, duration: Micros) -> bool {
+        now.saturating_add(duration) < self.until
     }
 }
 
-/// A duty as it stands here, for operators.
+/// State of a duty as known to the local member, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// Its name.
+    /// Name of the duty.
     pub name: String,
-    /// Who holds it, as far as is known here.
+    /// Member that holds the duty, as far as is known.
     pub holder: Option<u64>,
-    /// The token.
+    /// Token of the current or last term.
     pub token: u64,
-    /// For how long (milliseconds).
+    /// Time left of the lease (milliseconds).
     pub left_ms: u64,
-    /// How old that knowledge is (milliseconds).
+    /// Age of this information (milliseconds).
     pub age_ms: u64,
     /// Why the last term ended.
     pub reason: Reason,
-    /// To whom it is pinned.
+    /// Member that the duty is pinned to.
     pub pinned: Option<u64>,
-    /// Steps of progress.
+    /// Number of progress steps so far.
     pub step: u64,
-    /// Who should hold it, in this order.
+    /// Members that should hold the duty, best first.
     pub ranks: Vec<u64>,
 }
 
 /// All duties of one member.
 #[derive(Clone, Debug)]
 pub struct Duties {
-    me: ProcessId,
+    local: ProcessId,
     lease: Lease,
     duties: BTreeMap<u64, Duty>,
     voters: VoterSet,
     voter: Option<Voter>,
-    seekers: BTreeMap<u64, Proposer>,
-    there: Vec<Candidate>,
-    may_seek: bool,
-    remembered: BTreeMap<u64, (u64, u64)>,
-    /// How often each voter wrote, as far as was heard.
-    wrote: BTreeMap<u64, u64>,
-    /// Numbers its draws.
-    draws: u64,
-    /// When it meant to look at the clock.
-    due: Micros,
+    proposers: BTreeMap<u64, Proposer>,
+    candidates: Vec<Candidate>,
+    may_propose: bool,
+    /// Latest boot number and instance of each member.
+    instances: BTreeMap<u64, (u64, u64)>,
+    /// Highest write count received of each voter.
+    write_counts: BTreeMap<u64, u64>,
+    /// Number of jitter values drawn so far.
+    jitter_count: u64,
+    /// When the next tick is due.
+    tick_due: Micros,
     outputs: Vec<Output>,
 }
 
 impl Duties {
-    /// A member that starts: its life, its boot, what its folder holds (none where that can't be believed), the duties, and whose
-    /// answers count.
+    /// Creates the duties of a member that starts. `stored` is the voter's state in the folder, and none if
+    /// that cannot be trusted.
     pub fn new(
         now: Micros,
-        me: ProcessId,
+        local: ProcessId,
         boot: u64,
         lease: Lease,
-        found: Option<StoredVoter>,
+        stored: Option<StoredVoter>,
         duties: Vec<Duty>,
         voters: VoterSet,
     ) -> Self {
         let duties: BTreeMap<u64, Duty> =
             duties.into_iter().take(MAX_DUTIES).map(|duty| (duty.id(), duty)).collect();
-        // Where there are no duties there is nothing to vote on.
-        let votes = voters.contains(me.member) && !duties.is_empty();
-        let voter = votes.then(|| Voter::new(now, me, boot, lease, found));
-        // Not all that start at once look at once.
-        let first = |id: &u64| {
-            now + xxh3_64(&[id.to_le_bytes(), me.member.to_le_bytes()].concat())
+        // Without duties there is nothing to vote on.
+        let votes = voters.contains(local.member) && !duties.is_empty();
+        let voter = votes.then(|| Voter::new(now, local, boot, lease, stored));
+        // Spreads the first queries of members that start at the same time.
+        let first_query = |id: &u64| {
+            now + xxh3_64(&[id.to_le_bytes(), local.member.to_le_bytes()].concat())
                 % (lease.holder_duration / 4).max(1)
         };
-        let seekers = duties.keys().map(|id| (*id, Proposer::new(first(id), me))).collect();
+        let proposers = duties.keys().map(|id| (*id, Proposer::new(first_query(id), local))).collect();
         Duties {
-            me,
+            local,
             lease,
             duties,
             voters,
             voter,
-            seekers,
-            there: Vec::new(),
-            may_seek: false,
-            remembered: BTreeMap::new(),
-            wrote: BTreeMap::new(),
-            draws: 0,
-            due: now,
+            proposers,
+            candidates: Vec::new(),
+            may_propose: false,
+            instances: BTreeMap::new(),
+            write_counts: BTreeMap::new(),
+            jitter_count: 0,
+            tick_due: now,
             outputs: Vec::new(),
         }
     }
 
-    // ---- What it is told of the fleet ----
+    // ---- Changes of the fleet ----
 
-    /// Who is there, and whether this member may seek duties.
-    pub fn set_candidates(&mut self, now: Micros, there: Vec<Candidate>, may_seek: bool) {
-        (self.there, self.may_seek) = (there, may_seek);
+    /// Sets the live members, and whether the local member may acquire duties.
+    pub fn set_candidates(&mut self, now: Micros, candidates: Vec<Candidate>, may_propose: bool) {
+        (self.candidates, self.may_propose) = (candidates, may_propose);
         let ids: Vec<u64> = self.duties.keys().copied().collect();
         for id in ids {
-            // Whoever should try now looks soon; the others as before.
+            // A ranked member brings its next query forward; the others keep their schedule.
             if self.rank(id).is_some() {
-                let at = now + self.draw(id);
-                self.seekers.get_mut(&id).into_iter().for_each(|s| s.query_by(at));
+                let at = now + self.next_jitter(id);
+                self.proposers.get_mut(&id).into_iter().for_each(|p| p.query_by(at));
             }
         }
     }
 
-    /// The newest boot of a member, and its life.
-    pub fn record_instance(&mut self, member: u64, boot: u64, life: u64) {
-        let known = self.remembered.entry(member).or_insert((boot, life));
+    /// Records the boot number and instance of a member's process, if it is the latest.
+    pub fn record_instance(&mut self, member: u64, boot: u64, instance: u64) {
+        let known = self.instances.entry(member).or_insert((boot, instance));
         if boot > known.0 {
-            *known = (boot, life);
+            *known = (boot, instance);
         }
     }
 
-    /// Others know of a later life of this member than its folder.
+    /// Suspends voting because other members know of a later process of this member than its folder does.
     pub fn suspend_voting(&mut self, now: Micros) {
         if let Some(voter) = &mut self.voter {
             let before = voter.status();
             voter.suspend(now, self.lease);
             if voter.status() != before {
-                self.doubts();
+                self.on_voting_suspended();
             }
         }
     }
 
-    /// Whose answers count from now on. One that comes to vote has promised nothing, and learns first.
+    /// Sets the members whose responses count from now on. A member that becomes a voter has promised nothing
+    /// yet, and recovers the registers first.
     pub fn set_voters(&mut self, now: Micros, voters: VoterSet) {
         if self.voters == voters {
             return;
         }
         self.voters = voters;
-        match (self.voters.contains(self.me.member) && !self.duties.is_empty(), &self.voter) {
-            (true, None) => self.voter = Some(Voter::new(now, self.me, 0, self.lease, None).joined_later()),
+        match (self.voters.contains(self.local.member) && !self.duties.is_empty(), &self.voter) {
+            (true, None) => {
+                self.voter = Some(Voter::new(now, self.local, 0, self.lease, None).joined_later())
+            }
             (false, Some(_)) => self.voter = None,
             _ => {}
         }
     }
 
-    /// Whether there are none.
+    /// Returns whether no duties are configured.
     pub fn is_empty(&self) -> bool {
         self.duties.is_empty()
     }
 
-    // ---- What it holds ----
+    // ---- Held duties ----
 
-    /// A duty that it holds at a moment. To be asked at the last step before an act, with the clock read then.
+    /// Returns a duty if the local member holds it at `now`. To be called immediately before an action, with
+    /// the clock read then.
     pub fn held(&self, now: Micros, duty: u64) -> Option<HeldDuty> {
-        let term = self.seekers.get(&duty)?.term().filter(|term| term.is_held(now))?;
+        let term = self.proposers.get(&duty)?.term().filter(|term| term.is_held(now))?;
         let value = term.decided()?;
         let progress = value.progress.clone();
         Some(HeldDuty { duty, token: term.token(), until: term.until(), step: value.step, progress })
     }
 
-    /// What has been done so far under a held duty: its step is decided once [`Event::StepDecided`] says so.
+    /// Writes the progress of a held duty, and returns the number of the step. The step is decided once
+    /// [`Event::StepDecided`] reports it.
     ///
     /// # Errors
     ///
-    /// It is not held under that token any more, the step before is not decided, or it is too long.
+    /// The duty is not held under this token any more, the previous step is not decided, or the progress data
+    /// is too long.
     pub fn record_step(&mut self, now: Micros, held: &HeldDuty, progress: Vec<u8>) -> Result<u64, StepError> {
         let lease = self.lease;
-        let term = self.seekers.get_mut(&held.duty).and_then(Proposer::term_mut);
+        let term = self.proposers.get_mut(&held.duty).and_then(Proposer::term_mut);
         let (step, write) =
             term.ok_or(StepError::NotHeld(held.token))?.record_step(now, lease, held.token, progress)?;
-        self.ask_all(held.duty, &VoterRequest::Accept(write));
+        self.request_all(held.duty, &VoterRequest::Accept(write));
         Ok(step)
     }
 
-    /// What [`Output::Persist`] asked for stands on disk.
+    /// Records that the state of the last [`Output::Persist`] is on disk.
     pub fn persisted(&mut self) {
         self.voter.iter_mut().for_each(Voter::persisted);
     }
 
-    /// An operator's wish: to this member itself if it holds the duty, else to whoever does.
+    /// Handles an operator's request: carries it out if the local member holds the duty, else passes it on to
+    /// the holder.
     ///
     /// # Errors
     ///
-    /// No such duty, nobody holds it, or the member to pin it to is not there.
+    /// The duty is unknown, it has no known holder, or the member to pin it to is not live.
     pub fn operator_request(
         &mut self,
         now: Micros,
         name: &str,
-        wish: OperatorRequest,
+        request: OperatorRequest,
     ) -> Result<(), OperatorRequestError> {
         let id = Duty::new(name).id();
         if !self.duties.contains_key(&id) {
             return Err(OperatorRequestError::UnknownDuty(name.to_owned()));
         }
-        if let OperatorRequest::Pin(Some(to)) = wish
-            && !self.there.iter().any(|c| c.member == to)
+        if let OperatorRequest::Pin(Some(to)) = request
+            && !self.candidates.iter().any(|c| c.member == to)
         {
             return Err(OperatorRequestError::MemberNotPresent);
         }
         if self.held(now, id).is_some() {
-            self.wished(now, id, wish);
+            self.apply_operator_request(now, id, request);
             return Ok(());
         }
-        let belief = self.seekers.get(&id).map(Proposer::known_state).unwrap_or_default();
-        let holder = belief.accepted.and_then(|head| head.holder).filter(|_| now < belief.lease_until);
+        let known = self.proposers.get(&id).map(Proposer::known_state).unwrap_or_default();
+        let holder = known.accepted.and_then(|accepted| accepted.holder).filter(|_| now < known.lease_until);
         let to = holder.ok_or(OperatorRequestError::NoKnownHolder)?.member;
-        self.send(to, id, Payload::OperatorRequest(wish));
+        self.send(to, id, Payload::OperatorRequest(request));
         Ok(())
     }
 
-    fn wished(&mut self, now: Micros, duty: u64, wish: OperatorRequest) {
+    fn apply_operator_request(&mut self, now: Micros, duty: u64, request: OperatorRequest) {
         let lease = self.lease;
-        let Some(term) = self.seekers.get_mut(&duty).and_then(Proposer::term_mut) else { return };
-        let write = match wish {
+        let Some(term) = self.proposers.get_mut(&duty).and_then(Proposer::term_mut) else { return };
+        let write = match request {
             OperatorRequest::Yield => term.release(now, lease, Reason::Asked),
             OperatorRequest::Pin(to) => term.pin(now, lease, to),
         };
         if let Some(write) = write {
-            self.ask_all(duty, &VoterRequest::Accept(write));
+            self.request_all(duty, &VoterRequest::Accept(write));
         }
     }
 
-    /// Everything is given up, since the process is to end, or is too slow.
+    /// Releases all held duties, because the process is shutting down or is too slow.
     pub fn release_all(&mut self, now: Micros, reason: Reason) {
         let lease = self.lease;
         let mut writes = Vec::new();
-        for (duty, seeker) in &mut self.seekers {
-            writes.extend(seeker.term_mut().and_then(|t| t.release(now, lease, reason)).map(|w| (*duty, w)));
+        for (duty, proposer) in &mut self.proposers {
+            writes
+                .extend(proposer.term_mut().and_then(|t| t.release(now, lease, reason)).map(|w| (*duty, w)));
         }
-        writes.into_iter().for_each(|(duty, write)| self.ask_all(duty, &VoterRequest::Accept(write)));
+        writes.into_iter().for_each(|(duty, write)| self.request_all(duty, &VoterRequest::Accept(write)));
         if reason == Reason::Leaving {
-            self.may_seek = false;
+            self.may_propose = false;
         }
     }
 
-    // ---- Time and letters ----
+    // ---- Time and messages ----
 
-    /// When [`Duties::tick`] is to be called.
+    /// Returns when [`Duties::tick`] is to be called next.
     pub fn next_wake(&self) -> Micros {
-        let seekers = self.seekers.values().map(|s| s.next_wake(self.lease)).min().unwrap_or(Micros::MAX);
-        seekers.min(self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake))
+        let proposers = self.proposers.values().map(|p| p.next_wake(self.lease)).min().unwrap_or(Micros::MAX);
+        proposers.min(self.voter.as_ref().map_or(Micros::MAX, Voter::next_wake))
     }
 
-    /// What the host is to do by now.
+    /// Takes the actions that the host is to carry out by now.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Time has passed.
+    /// Advances time.
     pub fn tick(&mut self, now: Micros) {
-        let late = now.saturating_sub(self.due);
-        if self.due > 0 && late >= self.lease.holder_duration / LATE_PART {
-            // It was stopped, or its loop is slow: what it still holds others do better.
+        let delay = now.saturating_sub(self.tick_due);
+        if self.tick_due > 0 && delay >= self.lease.holder_duration / UNFIT_DELAY_DIVISOR {
+            // The process was suspended or its loop is slow: other members do the work better.
             self.release_all(now, Reason::Unfit);
         }
-        self.vote(now);
+        self.tick_voter(now);
         let ids: Vec<u64> = self.duties.keys().copied().collect();
         for id in ids {
             let rank = self.rank(id);
-            let jitter = self.draw(id);
-            let Some(seeker) = self.seekers.get_mut(&id) else { continue };
-            if now < seeker.next_wake(self.lease) {
+            let jitter = self.next_jitter(id);
+            let Some(proposer) = self.proposers.get_mut(&id) else { continue };
+            if now < proposer.next_wake(self.lease) {
                 continue;
             }
-            let setting = ProposerContext { lease: self.lease, voters: &self.voters, rank, jitter };
-            let (ask, ended) = seeker.tick(now, &setting);
-            if let Some(token) = ended {
+            let context = ProposerContext { lease: self.lease, voters: &self.voters, rank, jitter };
+            let (request, expired) = proposer.tick(now, &context);
+            if let Some(token) = expired {
                 self.outputs.push(Output::Event(Event::Expired { duty: id, token }));
             }
-            if let Some(ask) = ask {
-                self.ask_all(id, &ask);
+            if let Some(request) = request {
+                self.request_all(id, &request);
             }
-            self.hand_on(now, id);
+            self.release_to_pinned(now, id);
         }
-        self.due = self.next_wake().max(now);
+        self.tick_due = self.next_wake().max(now);
     }
 
-    /// A letter has come.
-    pub fn handle(&mut self, now: Micros, from: u64, letter: Envelope) {
-        let Envelope { from: life, duty, payload: body } = letter;
-        if life.member != from {
+    /// Handles a message from a member. A message whose sender does not match its envelope is ignored.
+    pub fn handle(&mut self, now: Micros, from: u64, envelope: Envelope) {
+        let Envelope { from: process, duty, payload } = envelope;
+        if process.member != from {
             return;
         }
         let known = self.duties.contains_key(&duty);
-        match body {
+        match payload {
             Payload::Query | Payload::Prepare(_) | Payload::Accept { .. } if known => {
-                self.asked(now, life, duty, body)
+                self.handle_voter_request(now, process, duty, payload)
             }
-            Payload::QueryReply(seen) if known => {
+            Payload::QueryReply(reply) if known => {
                 let rank = self.rank(duty);
-                let setting = ProposerContext {
+                let context = ProposerContext {
                     lease: self.lease,
                     voters: &self.voters,
                     rank,
-                    jitter: draw(self.me, duty, now, self.lease),
+                    jitter: jitter(self.local, duty, now, self.lease),
                 };
-                let ask =
-                    self.seekers.get_mut(&duty).and_then(|s| s.handle_query_reply(now, &setting, from, seen));
-                if let Some(ask) = ask {
-                    self.ask_all(duty, &ask);
+                let request = self
+                    .proposers
+                    .get_mut(&duty)
+                    .and_then(|p| p.handle_query_reply(now, &context, from, reply));
+                if let Some(request) = request {
+                    self.request_all(duty, &request);
                 }
             }
-            Payload::Response(answer, wrote) if known => {
-                let heard = self.wrote.entry(from).or_default();
-                *heard = (*heard).max(wrote);
-                self.answered(now, from, duty, answer);
+            Payload::Response(response, write_count) if known => {
+                let highest = self.write_counts.entry(from).or_default();
+                *highest = (*highest).max(write_count);
+                self.handle_response(now, from, duty, response);
             }
-            Payload::RecoveryRequest { nonce } => self.recall(life, nonce),
-            Payload::RecoveryResponse { nonce, flags: of, remembers, register, part } => {
+            Payload::RecoveryRequest { nonce } => self.handle_recovery_request(process, nonce),
+            Payload::RecoveryResponse { nonce, flags, remembers, register, part } => {
                 let register = register.as_ref().filter(|_| known).map(|r| (duty, r));
                 let Some(voter) = &mut self.voter else { return };
                 let before = voter.status();
-                let began = voter.handle_recovery_response(
+                let started = voter.handle_recovery_response(
                     now,
                     self.lease,
                     &self.voters,
                     from,
                     nonce,
-                    of,
+                    flags,
                     remembers,
                     register,
                     part,
                 );
-                let doubts = before == VoteStatus::Checking && voter.status() == VoteStatus::Silent;
-                if began {
-                    self.begins_to_vote();
-                } else if doubts {
-                    self.doubts();
+                let suspended = before == VoteStatus::Checking && voter.status() == VoteStatus::Silent;
+                if started {
+                    self.on_voting_started();
+                } else if suspended {
+                    self.on_voting_suspended();
                 }
             }
-            Payload::OperatorRequest(wish) if known => self.wished(now, duty, wish),
+            Payload::OperatorRequest(request) if known => self.apply_operator_request(now, duty, request),
             Payload::Released { pinned } if known => {
-                self.seekers.get_mut(&duty).into_iter().for_each(|s| s.handle_release(now, pinned));
+                self.proposers.get_mut(&duty).into_iter().for_each(|p| p.handle_release(now, pinned));
             }
             _ => {}
         }
     }
 
-    /// A voter is asked.
-    fn asked(&mut self, now: Micros, by: ProcessId, duty: u64, body: Payload) {
+    /// Handles a request to the local voter.
+    fn handle_voter_request(&mut self, now: Micros, by: ProcessId, duty: u64, payload: Payload) {
         let lease = self.lease;
-        let Some(kept) = self.voter.as_mut().and_then(|voter| voter.register_mut(duty)) else { return };
-        let ruling = match body {
+        let Some(leased) = self.voter.as_mut().and_then(|voter| voter.register_mut(duty)) else { return };
+        let reply = match payload {
             Payload::Query => {
-                let (promised, lease) = (kept.register.promised, kept.active_lease(now));
-                let head = kept.register.accepted.as_ref().map(AcceptedSummary::from_accepted);
-                return self.send(
-                    by.member,
-                    duty,
-                    Payload::QueryReply(RegisterSummary { promised, lease, accepted: head }),
-                );
+                let (promised, lease) = (leased.register.promised, leased.active_lease(now));
+                let accepted = leased.register.accepted.as_ref().map(AcceptedSummary::from_accepted);
+                let summary = RegisterSummary { promised, lease, accepted };
+                return self.send(by.member, duty, Payload::QueryReply(summary));
             }
-            Payload::Prepare(ballot) if ballot.proposer == by => kept.prepare(now, ballot),
-            Payload::Accept { ballot, seq, value, write_counts: wrote } if ballot.proposer == by => {
-                for (voter, wrote) in wrote.into_iter().take(MAX_WRITE_COUNTS) {
+            Payload::Prepare(ballot) if ballot.proposer == by => leased.prepare(now, ballot),
+            Payload::Accept { ballot, seq, value, write_counts } if ballot.proposer == by => {
+                for (voter, write_count) in write_counts.into_iter().take(MAX_WRITE_COUNTS) {
                     if self.voters.contains(voter) {
-                        let heard = self.wrote.entry(voter).or_default();
-                        *heard = (*heard).max(wrote);
+                        let highest = self.write_counts.entry(voter).or_default();
+                        *highest = (*highest).max(write_count);
                     }
                 }
-                kept.accept(now, lease, ballot, seq, value)
+                leased.accept(now, lease, ballot, seq, value)
             }
             _ => return,
         };
         let Some(voter) = &mut self.voter else { return };
-        // What a full disk did not take before is not told by a word that changes nothing.
-        if ruling.changed || voter.has_unpersisted_write() {
+        // An earlier change that could not be written to a full disk must be persisted too before this
+        // response reveals it, even if this request changes nothing.
+        if reply.changed || voter.has_unpersisted_write() {
             self.outputs.push(Output::Persist(voter.begin_write()));
         }
-        let wrote = voter.write_count();
-        self.send(by.member, duty, Payload::Response(ruling.response, wrote));
+        let write_count = voter.write_count();
+        self.send(by.member, duty, Payload::Response(reply.response, write_count));
     }
 
-    /// A voter answers.
-    fn answered(&mut self, now: Micros, by: u64, duty: u64, answer: Response) {
+    /// Handles a voter's response to a prepare or accept request of the local member.
+    fn handle_response(&mut self, now: Micros, by: u64, duty: u64, response: Response) {
         let rank = self.rank(duty);
-        let jitter = draw(self.me, duty, now, self.lease);
-        let setting = ProposerContext { lease: self.lease, voters: &self.voters, rank, jitter };
-        let Some(seeker) = self.seekers.get_mut(&duty) else { return };
-        let token = seeker.term().map_or(0, |term| term.token());
-        let mut ask = None;
-        let mut told = Vec::new();
-        match answer {
+        let jitter = jitter(self.local, duty, now, self.lease);
+        let context = ProposerContext { lease: self.lease, voters: &self.voters, rank, jitter };
+        let Some(proposer) = self.proposers.get_mut(&duty) else { return };
+        let token = proposer.term().map_or(0, |term| term.token());
+        let mut request = None;
+        let mut decisions = Vec::new();
+        match response {
             Response::Promise { ballot, accepted } => {
-                ask = seeker.handle_promise(now, &setting, by, ballot, accepted)
+                request = proposer.handle_promise(now, &context, by, ballot, accepted)
             }
             Response::Accepted { ballot, seq } => {
-                told = seeker.handle_accepted(now, &setting, by, ballot, seq)
+                decisions = proposer.handle_accepted(now, &context, by, ballot, seq)
             }
             Response::Refused { ballot, promised, lease } => {
-                seeker.handle_refusal(now, &setting, ballot, promised, lease)
+                proposer.handle_refusal(now, &context, ballot, promised, lease)
             }
         }
-        let step = seeker.term().and_then(|term| term.decided()).map_or(0, |value| value.step);
-        if told.iter().any(|d| matches!(d, Decision::Released(_))) {
-            let pinned = seeker.pinned();
-            let next =
-                self.duties.get(&duty).map(|of| rank_candidates(of, pinned, &self.there)).unwrap_or_default();
-            let me = self.me.member;
-            for to in next.into_iter().filter(|to| *to != me) {
+        let step = proposer.term().and_then(|term| term.decided()).map_or(0, |value| value.step);
+        if decisions.iter().any(|d| matches!(d, Decision::Released(_))) {
+            let pinned = proposer.pinned();
+            let ranked = self
+                .duties
+                .get(&duty)
+                .map(|duty| rank_candidates(duty, pinned, &self.candidates))
+                .unwrap_or_default();
+            let local = self.local.member;
+            for to in ranked.into_iter().filter(|to| *to != local) {
                 self.send(to, duty, Payload::Released { pinned });
             }
         }
-        for decided in told {
-            self.outputs.push(Output::Event(match decided {
+        for decision in decisions {
+            self.outputs.push(Output::Event(match decision {
                 Decision::Acquired => Event::Acquired { duty, token, step },
                 Decision::Step(step) => Event::StepDecided { duty, token, step },
                 Decision::Released(reason) => Event::Released { duty, token, reason },
             }));
         }
-        if let Some(ask) = ask {
-            self.ask_all(duty, &ask);
+        if let Some(request) = request {
+            self.request_all(duty, &request);
         }
-        self.hand_on(now, duty);
+        self.release_to_pinned(now, duty);
     }
 
-    /// One that it is pinned to is there: it goes there.
-    fn hand_on(&mut self, now: Micros, duty: u64) {
+    /// Releases a held duty if it is pinned to another member that is live.
+    fn release_to_pinned(&mut self, now: Micros, duty: u64) {
         let lease = self.lease;
-        let there = &self.there;
-        let Some(term) = self.seekers.get_mut(&duty).and_then(Proposer::term_mut) else { return };
+        let candidates = &self.candidates;
+        let Some(term) = self.proposers.get_mut(&duty).and_then(Proposer::term_mut) else { return };
         let pinned = term.decided().and_then(|value| value.pinned);
-        let away = pinned.filter(|to| *to != self.me.member && there.iter().any(|c| c.member == *to));
-        if away.is_some()
+        let target =
+            pinned.filter(|to| *to != self.local.member && candidates.iter().any(|c| c.member == *to));
+        if target.is_some()
             && let Some(write) = term.release(now, lease, Reason::Pinned)
         {
-            self.ask_all(duty, &VoterRequest::Accept(write));
+            self.request_all(duty, &VoterRequest::Accept(write));
         }
     }
 
     // ---- Voting ----
 
-    fn vote(&mut self, now: Micros) {
+    fn tick_voter(&mut self, now: Micros) {
         let Some(voter) = &mut self.voter else { return };
-        let (nonce, began) = voter.tick(now, self.lease, &self.voters);
-        if began {
-            self.begins_to_vote();
+        let (nonce, started) = voter.tick(now, self.lease, &self.voters);
+        if started {
+            self.on_voting_started();
         }
         if let Some(nonce) = nonce {
             for to in self.voters.voters() {
-                if to != self.me.member {
+                if to != self.local.member {
                     self.send(to, 0, Payload::RecoveryRequest { nonce });
                 }
             }
         }
     }
 
-    fn begins_to_vote(&mut self) {
+    fn on_voting_started(&mut self) {
         if let Some(voter) = &mut self.voter {
-            // Its folder is to say that it has begun, also where nothing is decided yet.
+            // The folder records that the voter has started to vote, even if nothing is decided yet.
             self.outputs.push(Output::Persist(voter.begin_write()));
             self.outputs.push(Output::Event(Event::VotingStarted));
         }
     }
 
-    fn doubts(&mut self) {
-        // Before anything else: a further start must not believe it.
+    fn on_voting_suspended(&mut self) {
+        // Goes before all other outputs: the next start must not trust the stored state.
         self.outputs.insert(0, Output::Erase);
         self.outputs.push(Output::Event(Event::VotingSuspended));
     }
 
-    /// Another voter starts, and asks what it may have forgotten.
-    fn recall(&mut self, by: ProcessId, nonce: u64) {
+    /// Handles a recovery request of another voter that starts, and may have lost promises.
+    fn handle_recovery_request(&mut self, by: ProcessId, nonce: u64) {
         let Some(voter) = &self.voter else { return };
-        let of = voter.flags();
-        let wrote = self.wrote.get(&by.member).copied().unwrap_or(0);
-        let remembers = (self.remembered.get(&by.member).copied(), wrote);
-        let mut registers: Vec<(u64, Option<Register>)> = if of.voting {
+        let flags = voter.flags();
+        let write_count = self.write_counts.get(&by.member).copied().unwrap_or(0);
+        let remembers = (self.instances.get(&by.member).copied(), write_count);
+        let mut registers: Vec<(u64, Option<Register>)> = if flags.voting {
             voter.registers().into_iter().map(|(d, r)| (d, Some(r))).collect()
         } else {
             Vec::new()
@@ -650,100 +669,98 @@
         let count = registers.len();
         for (n, (duty, register)) in registers.into_iter().enumerate() {
             let part = (n as u8, count as u8);
-            self.send(
-                by.member,
-                duty,
-                Payload::RecoveryResponse { nonce, flags: of, remembers, register, part },
-            );
+            self.send(by.member, duty, Payload::RecoveryResponse { nonce, flags, remembers, register, part });
         }
     }
 
-    // ---- Parts ----
+    // ---- Helpers ----
 
+    /// Returns the local member's position in the ranking of a duty, if it may acquire duties and is ranked.
     fn rank(&self, duty: u64) -> Option<usize> {
-        let told = self.duties.get(&duty).filter(|_| self.may_seek)?;
-        let pinned = self.seekers.get(&duty).and_then(Proposer::pinned);
-        rank_candidates(told, pinned, &self.there).iter().position(|id| *id == self.me.member)
+        let configured = self.duties.get(&duty).filter(|_| self.may_propose)?;
+        let pinned = self.proposers.get(&duty).and_then(Proposer::pinned);
+        rank_candidates(configured, pinned, &self.candidates).iter().position(|id| *id == self.local.member)
     }
 
-    fn draw(&mut self, duty: u64) -> Micros {
-        self.draws += 1;
-        draw(self.me, duty, self.draws, self.lease)
+    fn next_jitter(&mut self, duty: u64) -> Micros {
+        self.jitter_count += 1;
+        jitter(self.local, duty, self.jitter_count, self.lease)
     }
 
-    fn ask_all(&mut self, duty: u64, ask: &VoterRequest) {
-        let of = |id: &u64| self.wrote.get(id).map(|wrote| (*id, *wrote));
-        let wrote: Vec<(u64, u64)> =
-            self.voters.voters().iter().filter_map(of).take(MAX_WRITE_COUNTS).collect();
+    /// Sends a request to all voters.
+    fn request_all(&mut self, duty: u64, request: &VoterRequest) {
+        let known_count = |id: &u64| self.write_counts.get(id).map(|write_count| (*id, *write_count));
+        let write_counts: Vec<(u64, u64)> =
+            self.voters.voters().iter().filter_map(known_count).take(MAX_WRITE_COUNTS).collect();
         for to in self.voters.voters() {
-            let body = match ask {
+            let payload = match request {
                 VoterRequest::Query => Payload::Query,
                 VoterRequest::Prepare(ballot) => Payload::Prepare(*ballot),
                 VoterRequest::Accept(Write { ballot, seq, value }) => {
-                    let wrote = wrote.clone();
-                    Payload::Accept { ballot: *ballot, seq: *seq, value: value.clone(), write_counts: wrote }
+                    let write_counts = write_counts.clone();
+                    Payload::Accept { ballot: *ballot, seq: *seq, value: value.clone(), write_counts }
                 }
             };
-            self.send(to, duty, body);
+            self.send(to, duty, payload);
         }
     }
 
-    fn send(&mut self, to: u64, duty: u64, body: Payload) {
-        self.outputs.push(Output::Send { to, envelope: Envelope { from: self.me, duty, payload: body } });
+    fn send(&mut self, to: u64, duty: u64, payload: Payload) {
+        self.outputs.push(Output::Send { to, envelope: Envelope { from: self.local, duty, payload } });
     }
 
-    // ---- For operators ----
+    // ---- Status ----
 
-    /// How this member's vote stands.
+    /// Returns the state of the local voter.
     pub fn vote_status(&self) -> VoteStatus {
         self.voter.as_ref().map_or(VoteStatus::NonVoter, Voter::status)
     }
 
-    /// How each duty stands here.
+    /// Returns the state of each duty as known to the local member.
     pub fn status(&self, now: Micros) -> Vec<DutyStatus> {
-        let one = |(id, duty): (&u64, &Duty)| {
-            let seeker = self.seekers.get(id)?;
-            let belief = seeker.known_state();
-            let own = seeker.term().filter(|term| term.is_held(now));
-            let value = own.and_then(|term| term.decided());
-            let KnownState { accepted: head, lease_until: until, updated_at: told } = belief;
-            let reason = value.map(|p| p.reason).or(head.map(|h| h.reason)).unwrap_or_default();
-            let pinned = value.map_or(head.and_then(|h| h.pinned), |p| p.pinned);
-            let believed = head.filter(|_| now < until).and_then(|h| h.holder).map(|life| life.member);
+        let status = |(id, duty): (&u64, &Duty)| {
+            let proposer = self.proposers.get(id)?;
+            let held = proposer.term().filter(|term| term.is_held(now));
+            let value = held.and_then(|term| term.decided());
+            let KnownState { accepted, lease_until, updated_at } = proposer.known_state();
+            let reason = value.map(|v| v.reason).or(accepted.map(|a| a.reason)).unwrap_or_default();
+            let pinned = value.map_or(accepted.and_then(|a| a.pinned), |v| v.pinned);
+            let known_holder =
+                accepted.filter(|_| now < lease_until).and_then(|a| a.holder).map(|process| process.member);
             Some(DutyStatus {
                 name: duty.name.clone(),
-                holder: own.map(|_| self.me.member).or(believed),
-                token: own.map_or(head.map_or(0, |h| h.version.0.number), |term| term.token()),
-                left_ms: own.map_or(until, |term| term.until()).saturating_sub(now) / 1000,
-                age_ms: if own.is_some() { 0 } else { now.saturating_sub(told) / 1000 },
+                holder: held.map(|_| self.local.member).or(known_holder),
+                token: held.map_or(accepted.map_or(0, |a| a.version.0.number), |term| term.token()),
+                left_ms: held.map_or(lease_until, |term| term.until()).saturating_sub(now) / 1000,
+                age_ms: if held.is_some() { 0 } else { now.saturating_sub(updated_at) / 1000 },
                 reason,
                 pinned,
-                step: value.map(|p| p.step).or(head.map(|h| h.step)).unwrap_or(0),
-                ranks: rank_candidates(duty, pinned, &self.there),
+                step: value.map(|v| v.step).or(accepted.map(|a| a.step)).unwrap_or(0),
+                ranks: rank_candidates(duty, pinned, &self.candidates),
             })
         };
-        self.duties.iter().filter_map(one).collect()
+        self.duties.iter().filter_map(status).collect()
     }
 
-    /// The duties.
+    /// Returns the configured duties by ID.
     pub fn duties(&self) -> impl Iterator<Item = (u64, &Duty)> {
         self.duties.iter().map(|(id, duty)| (*id, duty))
     }
 
-    /// The highest token that this member, as a voter, has accepted a word of; for checks.
+    /// Returns the token of the last write that the local voter has accepted; for checks.
     pub fn accepted_token(&self, duty: u64) -> Option<u64> {
-        let kept = self.voter.as_ref()?.register(duty)?;
-        kept.register.accepted.as_ref().map(|a| a.ballot.number)
+        let leased = self.voter.as_ref()?.register(duty)?;
+        leased.register.accepted.as_ref().map(|a| a.ballot.number)
     }
 
-    /// Looks at a duty at once.
+    /// Makes the next query about a duty due at `now`, if it is due later.
     pub fn query_now(&mut self, now: Micros, duty: u64) {
-        self.seekers.get_mut(&duty).into_iter().for_each(|s| s.query_by(now));
+        self.proposers.get_mut(&duty).into_iter().for_each(|p| p.query_by(now));
     }
 }
 
-/// A span by jitter, up to an eighth of a lease; the same for the same questions.
-fn draw(me: ProcessId, duty: u64, number: u64, lease: Lease) -> Micros {
-    let of = [me.member, me.instance, duty, number].map(u64::to_le_bytes).concat();
-    xxh3_64(&of) % (lease.holder_duration / 8).max(1)
+/// Returns a pseudo-random delay of up to an eighth of a lease, the same for the same arguments.
+fn jitter(local: ProcessId, duty: u64, number: u64, lease: Lease) -> Micros {
+    let input = [local.member, local.instance, duty, number].map(u64::to_le_bytes).concat();
+    xxh3_64(&input) % (lease.holder_duration / 8).max(1)
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,27 +1,31 @@
-//! Work that one member of a fleet may do at a time, and none twice: for each duty a register that a majority of a few voters
-//! decides, held under a lease, with a token that only grows and the state of the work, which goes with the term. No I/O, no
-//! clock, no chance of its own: moments and letters come in, letters, writes and events go out. `docs/design-duties.md`
-//! weighs the options.
+//! Duties: work that at most one member of a fleet does at a time. Each duty has a replicated register,
+//! decided by a majority of a few voters and held under a lease, with a fencing token that only grows and the
+//! progress of the work, which passes from term to term. The crate does no I/O, reads no clock and draws no
+//! random numbers: times and messages come in; messages, writes and events go out. `docs/design-duties.md`
+//! compares the design options.
 //!
-//! **Theorem.** At no instant do two members hold a duty; tokens grow from term to term; and of two steps of progress that were
-//! decided the later holds all of the earlier.
+//! **Theorem.** At no instant do two members hold the same duty; tokens grow from term to term; and of any
+//! two decided progress steps, the later one includes the earlier.
 //!
-//! **Why.** A register is written under a ballot that a majority has promised (Paxos, with one value that is written again and
-//! again). A voter promises nobody else's ballot while a holder's lease runs, which it counts for `wide` since it accepted the
-//! last word; the holder counts `hold` since it asked for a word that a majority accepted, which was before. Two majorities
-//! share a voter, so the holder has stopped before anybody else can be promised. A ballot's number is above all that a
-//! majority had promised, so tokens grow. Whoever is promised hears the last accepted word from that shared voter, and goes on
-//! from there.
+//! **Proof sketch.** A register is written under a ballot that a majority has promised (Paxos, with one value
+//! that is rewritten repeatedly). A voter promises no other proposer's ballot while a holder's lease runs.
+//! The voter counts the lease for `voter_duration` from when it accepted the last write; the holder counts it
+//! for `holder_duration` from when it sent a write that a majority accepted, which was earlier. Two
+//! majorities share a voter, so the holder has stopped before another ballot can be promised. A ballot's
+//! number is above all numbers that a majority has promised, so tokens grow. A proposer that is promised its
+//! ballot receives the last accepted write from the shared voter, and continues from there.
 //!
-//! **Assumptions.** Clock rates right within `drift`, on clocks that count stops. What was written is on disk, or the voter knows
-//! that it may not be (see `voter`), and fewer than a majority of voters lose it at a time. One of those that a voter hears when it
-//! starts remembers its last life, if it starts from an old copy of its folder. Majorities of rosters in force at a time meet, and
-//! each duty was written under one roster before the next comes. One process under a name.
+//! **Assumptions.** Clock rates are right within `drift`, on clocks that also count while the process or the
+//! machine is suspended. Whatever was written is on disk, or the voter knows that it may not be (see
+//! `voter`), and fewer than a majority of voters lose their state at a time. If a voter starts from an old
+//! copy of its folder, at least one of the voters that it hears from at startup remembers its last process.
+//! Majorities of rosters that are in force at the same time intersect, and each duty was written under one
+//! roster before the next comes into force. At most one process runs under a member name.
 //!
-//! - `ballot`: who writes in which order, whose answers count, how long a term lasts
-//! - `register`: what stands at one voter; `voter`: when its word counts
-//! - `term`: what a holder writes; `seeker`: how a member comes to hold
-//! - `choice`: who should; `core`: all duties of a member
+//! - `ballot`: order of writes, voter sets and lease durations
+//! - `register`: a duty's register at one voter; `voter`: when a voter may answer
+//! - `term`: what a holder writes; `proposer`: how a member acquires a duty
+//! - `ranking`: which member should hold a duty; `core`: all duties of a member
 
 mod ballot;
 mod core;
--- a/crates/duties/src/proposer.rs
+++ b/crates/duties/src/proposer.rs
@@ -1,4 +1,5 @@
-//! How a member comes to hold a duty: it looks who does, asks a majority for a ballot, and writes.
+//! How a member acquires a duty: it queries the voters for the holder, asks a majority to promise a ballot,
+//! and writes.
 
 use crate::ballot::{Ballot, Lease, Micros, ProcessId, VoterSet};
 use crate::register::{Accepted, Reason, RegisterValue};
@@ -6,337 +7,345 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a voter tells of a duty to one that only looks.
+/// A voter's reply to a query about a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterSummary {
-    /// What it has promised.
+    /// Ballot that the voter has promised.
     pub promised: Ballot,
-    /// Whose lease runs for how long (microseconds).
+    /// Process that holds the lease, and the time left (microseconds).
     pub lease: Option<(ProcessId, Micros)>,
-    /// What it has accepted, without its progress.
+    /// Last accepted write, without its progress data.
     pub accepted: Option<AcceptedSummary>,
 }
 
-/// What stands of a duty, without its progress.
+/// An accepted write without its progress data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedSummary {
-    /// The ballot and the word of it.
+    /// Ballot of the write, and its sequence number within the ballot.
     pub version: (Ballot, u64),
-    /// Who holds it.
+    /// Process that holds the duty.
     pub holder: Option<ProcessId>,
     /// Why the last term ended.
     pub reason: Reason,
-    /// To whom it is pinned.
+    /// Member that the duty is pinned to.
     pub pinned: Option<u64>,
-    /// Steps of progress.
+    /// Number of progress steps so far.
     pub step: u64,
 }
 
 impl AcceptedSummary {
-    /// Of what was accepted.
+    /// Summarizes an accepted write.
     pub fn from_accepted(accepted: &Accepted) -> Self {
         let RegisterValue { holder, reason, pinned, step, .. } = accepted.value;
         AcceptedSummary { version: accepted.version(), holder, reason, pinned, step }
     }
 }
 
-/// What a member believes of a duty that it does not hold.
+/// What a member knows of a duty that it does not hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KnownState {
-    /// What stands, as a majority told.
+    /// Newest accepted write among the replies of a majority.
     pub accepted: Option<AcceptedSummary>,
-    /// Until when its holder's lease runs, by this member's clock.
+    /// End of the holder's lease by the local clock.
     pub lease_until: Micros,
-    /// When it was told.
+    /// When a majority last replied.
     pub updated_at: Micros,
 }
 
-/// What goes to all voters.
+/// A request to all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterRequest {
-    /// Who holds it?
+    /// Asks who holds the duty.
     Query,
-    /// May this ballot write?
+    /// Asks for a promise of a ballot.
     Prepare(Ballot),
-    /// This holds from now on.
+    /// Asks to accept a write.
     Accept(Write),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Rest,
-    Looking { asked: Micros, seen: BTreeMap<u64, RegisterSummary> },
-    Preparing { ballot: Ballot, asked: Micros, promised: BTreeMap<u64, Option<Accepted>> },
-    Term(Box<Term>),
+    Idle,
+    Querying { asked_at: Micros, replies: BTreeMap<u64, RegisterSummary> },
+    Preparing { ballot: Ballot, asked_at: Micros, promises: BTreeMap<u64, Option<Accepted>> },
+    Holding(Box<Term>),
 }
 
-/// What a member does about one duty.
+/// The part of one member in the election of one duty's holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    me: ProcessId,
+    local: ProcessId,
     phase: Phase,
-    /// When it looks again.
-    next: Micros,
-    /// The highest number that it has heard of.
-    highest: u64,
+    /// When the next query is due.
+    next_query: Micros,
+    /// Highest ballot number seen so far.
+    highest_number: u64,
     known: KnownState,
-    /// To whom it is pinned, as was last told.
+    /// Member that the duty is pinned to, as last reported.
     pinned: Option<u64>,
-    /// Looks that came to nothing in a row.
-    failed: u32,
+    /// Number of failed attempts in a row.
+    failed_attempts: u32,
 }
 
-/// What a member is to know when it acts.
+/// What a proposer needs to know of the fleet when it acts.
 #[derive(Clone, Copy, Debug)]
 pub struct ProposerContext<'a> {
-    /// How long a term lasts.
+    /// Lease durations.
     pub lease: Lease,
-    /// Whose answers count.
+    /// Members whose responses count.
     pub voters: &'a VoterSet,
-    /// Its place among those that should try, the first being 0; none if others should.
+    /// Position of the local member in the ranking of candidates, from 0; none if it is not ranked.
     pub rank: Option<usize>,
-    /// A span by jitter, up to an eighth of a lease: those of one rank do not try at once.
+    /// Random delay of up to an eighth of a lease, which keeps members of the same rank from trying at the
+    /// same time.
     pub jitter: Micros,
 }
 
-/// Those of no rank look so seldom (leases).
-const LOOK_LEASES: u64 = 10;
+/// Interval between the queries of members that are not ranked (lease durations).
+const UNRANKED_QUERY_LEASES: u64 = 10;
 
 impl Proposer {
-    /// A member that starts, and looks soon.
-    pub fn new(now: Micros, me: ProcessId) -> Self {
+    /// Creates a proposer whose first query is due at `first_query`.
+    pub fn new(first_query: Micros, local: ProcessId) -> Self {
         Proposer {
-            me,
-            phase: Phase::Rest,
-            next: now,
-            highest: 0,
+            local,
+            phase: Phase::Idle,
+            next_query: first_query,
+            highest_number: 0,
             known: KnownState::default(),
             pinned: None,
-            failed: 0,
+            failed_attempts: 0,
         }
     }
 
-    /// Its term, if it has one.
+    /// Returns the term of the local member, if it has one.
     pub fn term(&self) -> Option<&Term> {
-        if let Phase::Term(term) = &self.phase { Some(term) } else { None }
+        if let Phase::Holding(term) = &self.phase { Some(term) } else { None }
     }
 
-    /// The same, to write.
+    /// Returns the term of the local member for writing, if it has one.
     pub fn term_mut(&mut self) -> Option<&mut Term> {
-        if let Phase::Term(term) = &mut self.phase { Some(term) } else { None }
+        if let Phase::Holding(term) = &mut self.phase { Some(term) } else { None }
     }
 
-    /// What it believes where it holds nothing.
+    /// Returns what is known of the duty while it is not held here.
     pub fn known_state(&self) -> KnownState {
         self.known
     }
 
-    /// When [`Proposer::tick`] is to be called.
+    /// Returns when [`Proposer::tick`] is to be called next.
     pub fn next_wake(&self, lease: Lease) -> Micros {
         match &self.phase {
-            Phase::Rest => self.next,
-            Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => {
-                asked.saturating_add(lease.holder_duration)
+            Phase::Idle => self.next_query,
+            Phase::Querying { asked_at, .. } | Phase::Preparing { asked_at, .. } => {
+                asked_at.saturating_add(lease.holder_duration)
             }
-            Phase::Term(term) => term.next_wake(),
+            Phase::Holding(term) => term.next_wake(),
         }
     }
 
-    /// To whom it is pinned, as far as is known.
+    /// Returns the member that the duty is pinned to, as far as is known.
     pub fn pinned(&self) -> Option<u64> {
         self.pinned
     }
 
-    /// Its holder gave it up: whoever should take it looks at once.
+    /// Handles a holder's notice that it has released the duty: the next query is due at once.
     pub fn handle_release(&mut self, now: Micros, pinned: Option<u64>) {
         self.pinned = pinned;
-        (self.known.lease_until, self.failed) = (now, 0);
+        (self.known.lease_until, self.failed_attempts) = (now, 0);
         self.query_by(now);
     }
 
-    /// It is to look at once.
-    pub fn query_by(&mut self, now: Micros) {
-        self.next = self.next.min(now);
+    /// Makes the next query due at `at`, if it is due later.
+    pub fn query_by(&mut self, at: Micros) {
+        self.next_query = self.next_query.min(at);
     }
 
-    fn rest(&mut self, next: Micros) {
-        (self.phase, self.next) = (Phase::Rest, next);
+    fn idle_until(&mut self, next_query: Micros) {
+        (self.phase, self.next_query) = (Phase::Idle, next_query);
     }
 
-    /// A pause after a try that came to nothing: longer each time, up to four leases.
-    fn pause(&mut self, now: Micros, setting: &ProposerContext<'_>) {
-        self.failed = (self.failed + 1).min(4);
-        let span =
-            ((setting.lease.holder_duration / 4) << self.failed).min(setting.lease.holder_duration * 4);
-        self.rest(now + span / 2 + setting.jitter * u64::from(self.failed));
+    /// Backs off after a failed attempt, for longer each time, up to four leases.
+    fn back_off(&mut self, now: Micros, context: &ProposerContext<'_>) {
+        self.failed_attempts = (self.failed_attempts + 1).min(4);
+        let delay = ((context.lease.holder_duration / 4) << self.failed_attempts)
+            .min(context.lease.holder_duration * 4);
+        self.idle_until(now + delay / 2 + context.jitter * u64::from(self.failed_attempts));
     }
 
-    /// Time has passed. What goes to all voters, and whether a term ended by it.
+    /// Advances time. Returns the request to send to all voters, and the token of a held term that has
+    /// expired.
     pub fn tick(
         &mut self,
         now: Micros,
-        setting: &ProposerContext<'_>,
+        context: &ProposerContext<'_>,
     ) -> (Option<VoterRequest>, Option<u64>) {
         match &mut self.phase {
-            Phase::Term(term) if term.is_expired(now) => {
+            Phase::Holding(term) if term.is_expired(now) => {
                 let token = term.decided().map(|_| term.token());
-                self.pause(now, setting);
+                self.back_off(now, context);
                 (None, token)
             }
-            Phase::Term(term) => (term.tick(now, setting.lease).map(VoterRequest::Accept), None),
-            Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => {
-                if now >= asked.saturating_add(setting.lease.holder_duration) {
-                    self.pause(now, setting);
+            Phase::Holding(term) => (term.tick(now, context.lease).map(VoterRequest::Accept), None),
+            Phase::Querying { asked_at, .. } | Phase::Preparing { asked_at, .. } => {
+                if now >= asked_at.saturating_add(context.lease.holder_duration) {
+                    self.back_off(now, context);
                 }
                 (None, None)
             }
-            Phase::Rest if now >= self.next => {
-                self.phase = Phase::Looking { asked: now, seen: BTreeMap::new() };
+            Phase::Idle if now >= self.next_query => {
+                self.phase = Phase::Querying { asked_at: now, replies: BTreeMap::new() };
                 (Some(VoterRequest::Query), None)
             }
-            Phase::Rest => (None, None),
+            Phase::Idle => (None, None),
         }
     }
 
-    /// A voter told what stands.
+    /// Handles a voter's reply to a query. Returns the prepare request once a majority has replied and it is
+    /// the local member's turn to acquire the duty.
     pub fn handle_query_reply(
         &mut self,
         now: Micros,
-        setting: &ProposerContext<'_>,
+        context: &ProposerContext<'_>,
         by: u64,
-        told: RegisterSummary,
+        reply: RegisterSummary,
     ) -> Option<VoterRequest> {
-        self.highest = self.highest.max(told.promised.number);
-        let Phase::Looking { asked, seen } = &mut self.phase else { return None };
-        if !setting.voters.contains(by) || now >= asked.saturating_add(setting.lease.holder_duration) {
+        self.highest_number = self.highest_number.max(reply.promised.number);
+        let Phase::Querying { asked_at, replies } = &mut self.phase else { return None };
+        if !context.voters.contains(by) || now >= asked_at.saturating_add(context.lease.holder_duration) {
             return None;
         }
-        seen.insert(by, told);
-        if !setting.voters.has_majority(seen) {
+        replies.insert(by, reply);
+        if !context.voters.has_majority(replies) {
             return None;
         }
-        let head = seen.values().filter_map(|s| s.accepted).max_by_key(|head| head.version);
-        let left = seen.values().filter_map(|s| s.lease).map(|(_, left)| left).max().unwrap_or(0);
-        self.known = KnownState { accepted: head, lease_until: now + left, updated_at: now };
-        self.pinned = head.and_then(|head| head.pinned);
-        let hold = setting.lease.holder_duration;
-        let Some(rank) = setting.rank else {
-            self.failed = 0;
-            self.rest(now + hold * LOOK_LEASES + setting.jitter);
+        let accepted = replies.values().filter_map(|s| s.accepted).max_by_key(|accepted| accepted.version);
+        let left = replies.values().filter_map(|s| s.lease).map(|(_, left)| left).max().unwrap_or(0);
+        self.known = KnownState { accepted, lease_until: now + left, updated_at: now };
+        self.pinned = accepted.and_then(|accepted| accepted.pinned);
+        let holder_duration = context.lease.holder_duration;
+        let Some(rank) = context.rank else {
+            self.failed_attempts = 0;
+            self.idle_until(now + holder_duration * UNRANKED_QUERY_LEASES + context.jitter);
             return None;
         };
-        // Each rank leaves the ones before it a quarter of a lease.
-        let stagger = hold / 4 * rank as u64 + if rank > 0 { setting.jitter } else { 0 };
+        // Each rank gives those before it a head start of a quarter of a lease.
+        let stagger = holder_duration / 4 * rank as u64 + if rank > 0 { context.jitter } else { 0 };
         if left > 0 {
-            self.failed = 0;
-            self.rest(now + left + stagger);
+            self.failed_attempts = 0;
+            self.idle_until(now + left + stagger);
             return None;
         }
-        if stagger > 0 && self.failed == 0 {
-            // Free, as it seems: the others first, and then another look.
-            self.failed = 1;
-            self.rest(now + stagger);
+        if stagger > 0 && self.failed_attempts == 0 {
+            // The duty seems vacant: leave it to the better ranked members first, then query again.
+            self.failed_attempts = 1;
+            self.idle_until(now + stagger);
             return None;
         }
         Some(self.prepare(now))
     }
 
-    /// Asks for a ballot, whatever stands: voters say whether it may.
+    /// Starts a ballot whatever is known of the duty; the voters decide whether to promise it.
     pub fn prepare(&mut self, now: Micros) -> VoterRequest {
-        let ballot = Ballot { number: self.highest + 1, proposer: self.me };
-        self.highest = ballot.number;
-        self.phase = Phase::Preparing { ballot, asked: now, promised: BTreeMap::new() };
+        let ballot = Ballot { number: self.highest_number + 1, proposer: self.local };
+        self.highest_number = ballot.number;
+        self.phase = Phase::Preparing { ballot, asked_at: now, promises: BTreeMap::new() };
         VoterRequest::Prepare(ballot)
     }
 
-    /// The highest number that it has heard of.
+    /// Returns the highest ballot number seen so far.
     pub fn highest_number(&self) -> u64 {
-        self.highest
+        self.highest_number
     }
 
-    /// A voter has promised.
+    /// Handles a voter's promise. Returns the first write of the term once a majority has promised.
     pub fn handle_promise(
         &mut self,
         now: Micros,
-        setting: &ProposerContext<'_>,
+        context: &ProposerContext<'_>,
         by: u64,
-        of: Ballot,
+        promised: Ballot,
         accepted: Option<Accepted>,
     ) -> Option<VoterRequest> {
-        let Phase::Preparing { ballot, asked, promised } = &mut self.phase else { return None };
-        // What was asked for long ago may have been forgotten by now.
-        let late = now >= asked.saturating_add(setting.lease.holder_duration);
-        if *ballot != of || late || !setting.voters.contains(by) {
+        let Phase::Preparing { ballot, asked_at, promises } = &mut self.phase else { return None };
+        // A voter may by now have lost a promise that was requested more than a lease ago.
+        let late = now >= asked_at.saturating_add(context.lease.holder_duration);
+        if *ballot != promised || late || !context.voters.contains(by) {
             return None;
         }
-        promised.insert(by, accepted);
-        if !setting.voters.has_majority(promised) {
+        promises.insert(by, accepted);
+        if !context.voters.has_majority(promises) {
             return None;
         }
-        let last = promised.values().flatten().max_by_key(|a| a.version());
-        let before = last.map(|a| a.value.clone()).unwrap_or_default();
-        let (term, first) = Term::begin(now, setting.lease, of, before);
-        self.phase = Phase::Term(Box::new(term));
+        let last = promises.values().flatten().max_by_key(|a| a.version());
+        let previous = last.map(|a| a.value.clone()).unwrap_or_default();
+        let (term, first) = Term::begin(now, context.lease, promised, previous);
+        self.phase = Phase::Holding(Box::new(term));
         Some(VoterRequest::Accept(first))
     }
 
-    /// A voter has accepted a word.
+    /// Handles a voter's acceptance of a write, and returns what that decides.
     pub fn handle_accepted(
         &mut self,
         now: Micros,
-        setting: &ProposerContext<'_>,
+        context: &ProposerContext<'_>,
         by: u64,
-        of: Ballot,
+        ballot: Ballot,
         seq: u64,
     ) -> Vec<Decision> {
-        let Phase::Term(term) = &mut self.phase else { return Vec::new() };
-        if term.ballot() != of {
+        let Phase::Holding(term) = &mut self.phase else { return Vec::new() };
+        if term.ballot() != ballot {
             return Vec::new();
         }
-        let told = term.handle_accepted(now, setting.lease, setting.voters, by, seq);
+        let decisions = term.handle_accepted(now, context.lease, context.voters, by, seq);
         self.pinned = term.decided().and_then(|value| value.pinned);
-        if told.contains(&Decision::Acquired) {
-            self.failed = 0;
+        if decisions.contains(&Decision::Acquired) {
+            self.failed_attempts = 0;
         }
-        if told.iter().any(|d| matches!(d, Decision::Released(_))) {
-            // The others first.
-            self.rest(now + setting.lease.holder_duration * 2);
+        if decisions.iter().any(|d| matches!(d, Decision::Released(_))) {
+            // Leaves the duty to the other members first.
+            self.idle_until(now + context.lease.holder_duration * 2);
         }
-        told
+        decisions
     }
 
-    /// A voter does not do what it was asked for.
+    /// Handles a voter's refusal of a request.
     pub fn handle_refusal(
         &mut self,
         now: Micros,
-        setting: &ProposerContext<'_>,
-        of: Ballot,
+        context: &ProposerContext<'_>,
+        refused: Ballot,
         promised: Ballot,
-        leased: Option<(ProcessId, Micros)>,
+        lease: Option<(ProcessId, Micros)>,
     ) {
-        self.highest = self.highest.max(promised.number);
-        // A term that holds goes on as long as a majority accepts; one voter may be ahead for nothing.
+        self.highest_number = self.highest_number.max(promised.number);
+        // A held term goes on as long as a majority accepts its writes: a single voter may have promised a
+        // ballot that never gets a majority.
         if let Phase::Preparing { ballot, .. } = &self.phase
-            && *ballot == of
+            && *ballot == refused
         {
-            let left = leased.map_or(0, |(_, left)| left);
-            self.pause(now, setting);
-            self.next = self.next.max(now + left);
+            let left = lease.map_or(0, |(_, left)| left);
+            self.back_off(now, context);
+            self.next_query = self.next_query.max(now + left);
         }
     }
 
-    /// The same on a clock that is set back; for searches.
+    /// Returns the same proposer on a clock that reads `to` where this one reads `to + by`. State-space
+    /// searches use it to merge states that differ only in time.
     #[must_use]
     pub fn rebased(&self, to: Micros, by: Micros, lease: Lease) -> Self {
         let back = |at: Micros| at.saturating_sub(by).max(to.saturating_sub(2 * lease.holder_duration));
         let mut next = self.clone();
         match &mut next.phase {
-            Phase::Rest => {}
-            Phase::Looking { asked, .. } | Phase::Preparing { asked, .. } => *asked = back(*asked),
-            Phase::Term(term) => **term = term.rebased(to, by, lease),
+            Phase::Idle => {}
+            Phase::Querying { asked_at, .. } | Phase::Preparing { asked_at, .. } => {
+                *asked_at = back(*asked_at);
+            }
+            Phase::Holding(term) => **term = term.rebased(to, by, lease),
         }
-        // When it looks, and what it believes, decides when it tries, and nothing that must hold.
-        (next.next, next.known, next.failed) = (to, KnownState::default(), 0);
+        // The next query and the known state decide only when the member tries; safety does not depend on
+        // them.
+        (next.next_query, next.known, next.failed_attempts) = (to, KnownState::default(), 0);
         next
     }
 }
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -1,237 +1,256 @@
-//! A voter: what it keeps of all duties, and when its word counts.
+//! A voter: the registers that it keeps for all duties, and when it may answer requests.
 //!
-//! A voter that has lost what it promised would let two holders act. So one that starts says nothing before it knows how its
-//! folder stands:
+//! A voter that has lost its promises could let two members hold the same duty. A voter that starts therefore
+//! answers no requests until it knows the state of its folder:
 //!
-//! | its folder | it votes once |
-//! | --- | --- |
-//! | holds its registers | all other voters, or after a lease as many as make a majority with it, have said that they know of no later life of it, and have heard nothing that it wrote later |
-//! | holds older registers than others remember (a copy of an earlier day, or of an hour ago) | as with none; and what it holds is taken out first, so that a further start does not believe it |
-//! | holds none (emptied, or damaged and kept aside) | it has been silent for [`Lease::silence`], and has then learnt from a majority of voters that does not count itself |
-//! | holds none, and all other voters say the same, or that they began so in this life | it has been silent as long: nothing was ever decided |
+//! - Its folder holds its registers: it votes once all other voters, or after a lease enough of them to make
+//!   a majority with it, have said that they know of no later process of this member and of no later write.
+//! - Its folder holds registers older than what others remember (a copy from an earlier day, or from an hour
+//!   ago): it proceeds as with no registers, and erases the stored ones first, so that the next start does
+//!   not trust them.
+//! - Its folder holds no registers (emptied, or damaged and set aside): it votes once it has been silent for
+//!   [`Lease::silent_period`], and has then recovered from a majority of voters that does not count itself.
+//! - Its folder holds no registers, and all other voters say the same, or that they started so in this
+//!   process: it votes once it has been silent for the same period, since nothing was ever decided.
 //!
-//! The silence comes before the learning: a ballot that its earlier life promised has by then ended, or stands at another voter
-//! of each majority.
+//! The silent period comes before the recovery: by then, a ballot that an earlier process of the voter
+//! promised is over, or is stored at another voter of each majority.
 
 use crate::ballot::{Lease, Micros, ProcessId, VoterSet};
 use crate::register::{LeasedRegister, Register};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a voter stands.
+/// Progress of a voter from its start to voting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Trust {
-    /// Its folder was kept; whether it is the last one is asked.
+enum Phase {
+    /// The folder held registers, and the other voters are asked whether these are the latest. Holds the
+    /// voters that have confirmed it.
     Checking(BTreeSet<u64>),
-    /// It may have forgotten something: silent until then.
+    /// The voter may have lost promises, and is silent until this time.
     Silent(Micros),
-    /// It learns: who has told all, and who has nothing either.
-    Learning {
-        /// Which parts of whose answer have come: any may be lost, or come after the last.
+    /// The voter asks the other voters for their registers.
+    Recovering {
+        /// Parts received of each voter's answer: any part may be lost, or arrive after the last one.
         parts: BTreeMap<u64, BTreeSet<u8>>,
-        told: BTreeSet<u64>,
+        /// Voters whose answer is complete.
+        complete: BTreeSet<u64>,
+        /// Voters that started with no registers either.
         fresh: BTreeSet<u64>,
     },
-    /// Its word counts.
-    Votes,
+    /// The voter answers requests.
+    Voting,
 }
 
-/// What a voter has on disk.
+/// A voter's state on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredVoter {
-    /// How often it wrote, over all its lives: others remember the highest that they have heard of, so that a copy of an
-    /// earlier hour is found out, also one that was started from several times before it met anybody.
+    /// Number of writes to disk over all processes of the voter. The other voters remember the highest count
+    /// that they have received, which exposes a copy from an earlier hour, even one that was started several
+    /// times before it reached another voter.
     pub write_count: u64,
-    /// What it keeps of each duty.
+    /// Register of each duty.
     pub registers: BTreeMap<u64, Register>,
 }
 
-/// What a voter says of itself to one that starts.
+/// A voter's flags in its response to a recovery request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterFlags {
-    /// Its word counts.
+    /// The voter answers requests.
     pub voting: bool,
-    /// It has nothing from before, or began with nothing in this life, as did all.
+    /// The folder held no registers when the voter's process started. If that is so at all voters, nothing
+    /// was ever decided.
     pub fresh: bool,
 }
 
-/// How a voter stands, for operators.
+/// State of a voter, as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VoteStatus {
-    /// Its word counts.
+    /// The member votes.
     #[serde(rename = "votes")]
     Voting,
-    /// It asks whether its folder is the last one.
+    /// The voter asks the others whether its folder holds its latest state.
     #[serde(rename = "checks")]
     Checking,
-    /// It may have forgotten what it promised, and waits that out.
+    /// The voter may have lost promises, and is silent until they no longer matter.
     Silent,
-    /// It learns from the others.
+    /// The voter recovers its registers from the others.
     #[serde(rename = "learns")]
     Recovering,
-    /// Its word is not asked for.
+    /// The member is not a voter.
     #[serde(rename = "none")]
     NonVoter,
 }
 
-/// A voter.
+/// One voter of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    me: ProcessId,
+    local: ProcessId,
     boot: u64,
-    writes: u64,
-    /// Something that it holds is not on disk yet: nothing of it is told before it is.
+    write_count: u64,
+    /// Some state is not on disk yet, and must not be revealed before it is.
     unpersisted: bool,
-    /// Until then it waits for all others, any of whom may know better.
-    patience: Micros,
-    trust: Trust,
-    /// It began with nothing, in this life.
+    /// Until this time the voter waits for all other voters, any of which may know of a later process or
+    /// write.
+    wait_for_all_until: Micros,
+    phase: Phase,
+    /// The voter started with no registers in this process.
     fresh: bool,
-    kept: BTreeMap<u64, LeasedRegister>,
-    /// Asked again then.
-    next: Micros,
-    /// Numbers its questions: an answer to an earlier one says nothing of now.
+    registers: BTreeMap<u64, LeasedRegister>,
+    /// When the next recovery request is due.
+    next_request: Micros,
+    /// Number of the current recovery request; responses to earlier ones say nothing of the present.
     nonce: u64,
 }
 
 impl Voter {
-    /// A voter that starts, with what its folder holds; none where it holds nothing that can be believed.
-    pub fn new(now: Micros, me: ProcessId, boot: u64, lease: Lease, found: Option<StoredVoter>) -> Self {
-        let fresh = found.is_none();
-        let StoredVoter { write_count: writes, registers: found } = found.unwrap_or_default();
-        let trust = if fresh {
-            Trust::Silent(now.saturating_add(lease.silent_period()))
+    /// Creates a voter that starts, with what its folder holds; none if the folder holds nothing that can be
+    /// trusted.
+    pub fn new(now: Micros, local: ProcessId, boot: u64, lease: Lease, stored: Option<StoredVoter>) -> Self {
+        let fresh = stored.is_none();
+        let StoredVoter { write_count, registers } = stored.unwrap_or_default();
+        let phase = if fresh {
+            Phase::Silent(now.saturating_add(lease.silent_period()))
         } else {
-            Trust::Checking(BTreeSet::new())
+            Phase::Checking(BTreeSet::new())
         };
-        let kept =
-            found.into_iter().map(|(duty, r)| (duty, LeasedRegister::restored(r, now, lease))).collect();
+        let registers =
+            registers.into_iter().map(|(duty, r)| (duty, LeasedRegister::restored(r, now, lease))).collect();
         Voter {
-            me,
+            local,
             boot,
-            writes,
+            write_count,
             unpersisted: false,
-            patience: now.saturating_add(lease.holder_duration),
-            trust,
+            wait_for_all_until: now.saturating_add(lease.holder_duration),
+            phase,
             fresh,
-            kept,
-            next: now,
+            registers,
+            next_request: now,
             nonce: 0,
         }
     }
 
-    /// It comes to vote after it has been there: whether it voted at an earlier time is not known.
+    /// Marks the voter as one that joined the voter set while its process was running: it may have voted at
+    /// an earlier time, so it does not count as fresh.
     #[must_use]
     pub fn joined_later(mut self) -> Self {
         self.fresh = false;
         self
     }
 
-    /// Whether its word counts.
+    /// Returns whether the voter answers requests.
     pub fn is_voting(&self) -> bool {
-        self.trust == Trust::Votes
+        self.phase == Phase::Voting
     }
 
-    /// How it stands, for operators.
+    /// Returns the state of the voter for operators.
     pub fn status(&self) -> VoteStatus {
-        match self.trust {
-            Trust::Votes => VoteStatus::Voting,
-            Trust::Checking(_) => VoteStatus::Checking,
-            Trust::Silent(_) => VoteStatus::Silent,
-            Trust::Learning { .. } => VoteStatus::Recovering,
+        match self.phase {
+            Phase::Voting => VoteStatus::Voting,
+            Phase::Checking(_) => VoteStatus::Checking,
+            Phase::Silent(_) => VoteStatus::Silent,
+            Phase::Recovering { .. } => VoteStatus::Recovering,
         }
     }
 
-    /// What it says of itself.
+    /// Returns the voter's flags for a response to a recovery request.
     pub fn flags(&self) -> VoterFlags {
         VoterFlags { voting: self.is_voting(), fresh: self.fresh }
     }
 
-    /// What it keeps of a duty, where its word counts.
+    /// Returns the register of a duty for a request, if the voter answers requests.
     pub fn register_mut(&mut self, duty: u64) -> Option<&mut LeasedRegister> {
-        if self.is_voting() { Some(self.kept.entry(duty).or_default()) } else { None }
+        if self.is_voting() { Some(self.registers.entry(duty).or_default()) } else { None }
     }
 
-    /// The same, to be shown.
+    /// Returns the register of a duty for display, whether or not the voter answers requests.
     pub fn register(&self, duty: u64) -> Option<&LeasedRegister> {
-        self.kept.get(&duty)
+        self.registers.get(&duty)
     }
 
-    /// All registers.
+    /// Returns the registers of all duties.
     pub fn registers(&self) -> BTreeMap<u64, Register> {
-        self.kept.iter().map(|(duty, kept)| (*duty, kept.register.clone())).collect()
+        self.registers.iter().map(|(duty, leased)| (*duty, leased.register.clone())).collect()
     }
 
-    /// All of it, as it is to stand on disk from now on.
+    /// Counts a write to disk and returns the state to write. It is unpersisted until [`Voter::persisted`] is
+    /// called.
     pub fn begin_write(&mut self) -> StoredVoter {
-        self.writes = self.writes.saturating_add(1);
+        self.write_count = self.write_count.saturating_add(1);
         self.unpersisted = true;
-        StoredVoter { write_count: self.writes, registers: self.registers() }
+        StoredVoter { write_count: self.write_count, registers: self.registers() }
     }
 
-    /// What was last to stand on disk does.
+    /// Records that the last state returned by [`Voter::begin_write`] is on disk.
     pub fn persisted(&mut self) {
         self.unpersisted = false;
     }
 
-    /// Whether something is not on disk yet.
+    /// Returns whether some state is not on disk yet.
     pub fn has_unpersisted_write(&self) -> bool {
         self.unpersisted
     }
 
-    /// How often it wrote.
+    /// Returns the number of writes to disk over all processes of the voter.
     pub fn write_count(&self) -> u64 {
-        self.writes
+        self.write_count
     }
 
-    /// The number of its last question.
+    /// Returns the number of the current recovery request.
     pub fn nonce(&self) -> u64 {
         self.nonce
     }
 
-    /// When [`Voter::tick`] is to be called.
+    /// Returns when [`Voter::tick`] is to be called next.
     pub fn next_wake(&self) -> Micros {
-        match self.trust {
-            Trust::Votes => Micros::MAX,
-            Trust::Silent(until) => until,
-            Trust::Checking(_) | Trust::Learning { .. } => self.next,
+        match self.phase {
+            Phase::Voting => Micros::MAX,
+            Phase::Silent(until) => until,
+            Phase::Checking(_) | Phase::Recovering { .. } => self.next_request,
         }
     }
 
-    /// Time has passed: the number of a question to all other voters, if one is to be asked; and whether it votes from now on.
+    /// Advances time. Returns the number of the recovery request to send to all other voters, if one is due,
+    /// and whether the voter has just started to vote.
     pub fn tick(&mut self, now: Micros, lease: Lease, voters: &VoterSet) -> (Option<u64>, bool) {
-        if let Trust::Silent(until) = self.trust
+        if let Phase::Silent(until) = self.phase
             && now >= until
         {
-            self.trust =
-                Trust::Learning { parts: BTreeMap::new(), told: BTreeSet::new(), fresh: BTreeSet::new() };
-            self.next = now;
+            self.phase = Phase::Recovering {
+                parts: BTreeMap::new(),
+                complete: BTreeSet::new(),
+                fresh: BTreeSet::new(),
+            };
+            self.next_request = now;
             self.nonce += 1;
         }
-        let asks = matches!(self.trust, Trust::Checking(_) | Trust::Learning { .. }) && now >= self.next;
-        if asks {
-            self.next = now.saturating_add(lease.holder_duration / 3);
-            if matches!(self.trust, Trust::Checking(_)) && self.nonce == 0 {
+        let due =
+            matches!(self.phase, Phase::Checking(_) | Phase::Recovering { .. }) && now >= self.next_request;
+        if due {
+            self.next_request = now.saturating_add(lease.holder_duration / 3);
+            if matches!(self.phase, Phase::Checking(_)) && self.nonce == 0 {
                 self.nonce = 1;
             }
         }
-        let began = self.settle(now, lease, voters);
-        (asks.then_some(self.nonce).filter(|_| !began), began)
+        let started = self.try_start_voting(now, lease, voters);
+        (due.then_some(self.nonce).filter(|_| !started), started)
     }
 
-    /// Others know of a later life of this member than its folder: what it promised then it does not know. What its folder holds is to
-    /// be taken out before anything else is done.
+    /// Stops voting because others know of a later process of this member than its folder does, whose
+    /// promises are unknown here. The caller erases what the folder holds before anything else is done.
     pub fn suspend(&mut self, now: Micros, lease: Lease) {
-        if !matches!(self.trust, Trust::Silent(_) | Trust::Learning { .. }) {
-            self.trust = Trust::Silent(now.saturating_add(lease.silent_period()));
+        if !matches!(self.phase, Phase::Silent(_) | Phase::Recovering { .. }) {
+            self.phase = Phase::Silent(now.saturating_add(lease.silent_period()));
             self.fresh = false;
-            self.kept.clear();
+            self.registers.clear();
         }
     }
 
-    /// Another voter answers: how it stands, what it remembers of this member's name (boot and life) and of what it wrote, and,
-    /// where its word counts, a part of its registers: which of how many. True if this one votes from now on.
+    /// Handles another voter's response to a recovery request: its flags; what it remembers of this member
+    /// (boot number and instance) and of its write count; and, if the other voter is voting, one of its
+    /// registers. `part` is the index of the response and the number of parts. Returns whether the voter has
+    /// just started to vote.
     #[allow(clippy::too_many_arguments)]
     pub fn handle_recovery_response(
         &mut self,
@@ -240,84 +259,88 @@
         voters: &VoterSet,
         by: u64,
         nonce: u64,
-        of: VoterFlags,
+        flags: VoterFlags,
         remembers: (Option<(u64, u64)>, u64),
         register: Option<(u64, &Register)>,
         part: (u8, u8),
     ) -> bool {
-        if nonce != self.nonce || !voters.contains(by) || by == self.me.member {
+        if nonce != self.nonce || !voters.contains(by) || by == self.local.member {
             return false;
         }
-        let (name, wrote) = remembers;
-        let later = wrote > self.writes
-            || name.is_some_and(|(boot, life)| {
-                boot > self.boot || (boot == self.boot && life != self.me.instance)
+        let (process, write_count) = remembers;
+        let outdated = write_count > self.write_count
+            || process.is_some_and(|(boot, instance)| {
+                boot > self.boot || (boot == self.boot && instance != self.local.instance)
             });
-        match &mut self.trust {
-            Trust::Checking(_) if later => self.suspend(now, lease),
-            Trust::Checking(by_whom) => drop(by_whom.insert(by)),
-            Trust::Learning { parts, told, fresh } => {
-                self.writes = self.writes.max(wrote);
-                if let Some((duty, register)) = register.filter(|_| of.voting) {
-                    self.kept.entry(duty).or_default().merge(register);
+        match &mut self.phase {
+            Phase::Checking(_) if outdated => self.suspend(now, lease),
+            Phase::Checking(confirmed) => drop(confirmed.insert(by)),
+            Phase::Recovering { parts, complete, fresh } => {
+                self.write_count = self.write_count.max(write_count);
+                if let Some((duty, register)) = register.filter(|_| flags.voting) {
+                    self.registers.entry(duty).or_default().merge(register);
                 }
-                let (n, of_all) = part;
-                if of.voting && n < of_all {
-                    let come = parts.entry(by).or_default();
-                    come.insert(n);
-                    if come.len() >= usize::from(of_all) {
-                        told.insert(by);
+                let (index, count) = part;
+                if flags.voting && index < count {
+                    let received = parts.entry(by).or_default();
+                    received.insert(index);
+                    if received.len() >= usize::from(count) {
+                        complete.insert(by);
                     }
                 }
-                if of.fresh {
+                if flags.fresh {
                     fresh.insert(by);
                 }
             }
-            Trust::Silent(_) | Trust::Votes => {}
+            Phase::Silent(_) | Phase::Voting => {}
         }
-        self.settle(now, lease, voters)
+        self.try_start_voting(now, lease, voters)
     }
 
-    /// Whether it has come to vote by now.
-    fn settle(&mut self, now: Micros, lease: Lease, voters: &VoterSet) -> bool {
-        let me = self.me.member;
-        let votes = match &self.trust {
-            Trust::Votes | Trust::Silent(_) => false,
-            Trust::Checking(by) => {
-                let all = voters.voters().iter().all(|id| *id == me || by.contains(id));
-                all || (now >= self.patience && voters.is_majority(|id| id == me || by.contains(&id)))
+    /// Starts to vote if enough other voters have responded, and returns whether it did.
+    fn try_start_voting(&mut self, now: Micros, lease: Lease, voters: &VoterSet) -> bool {
+        let local = self.local.member;
+        let starts = match &self.phase {
+            Phase::Voting | Phase::Silent(_) => false,
+            Phase::Checking(confirmed) => {
+                let all = voters.voters().iter().all(|id| *id == local || confirmed.contains(id));
+                all || (now >= self.wait_for_all_until
+                    && voters.is_majority(|id| id == local || confirmed.contains(&id)))
             }
-            Trust::Learning { told, fresh, .. } => {
-                // All others began with nothing, as did this one.
-                let founded = self.fresh && voters.voters().iter().all(|id| *id == me || fresh.contains(id));
-                founded || voters.is_majority(|id| id != me && told.contains(&id))
+            Phase::Recovering { complete, fresh, .. } => {
+                // All voters started with no registers.
+                let all_fresh =
+                    self.fresh && voters.voters().iter().all(|id| *id == local || fresh.contains(id));
+                all_fresh || voters.is_majority(|id| id != local && complete.contains(&id))
             }
         };
-        if votes {
-            self.trust = Trust::Votes;
-            // Whoever holds a duty may have renewed its lease just now.
-            for kept in self.kept.values_mut() {
-                *kept = LeasedRegister::restored(std::mem::take(&mut kept.register), now, lease);
+        if starts {
+            self.phase = Phase::Voting;
+            // Holders may have renewed their leases just now.
+            for leased in self.registers.values_mut() {
+                *leased = LeasedRegister::restored(std::mem::take(&mut leased.register), now, lease);
             }
         }
-        votes
+        starts
     }
 
-    /// The same on a clock that is set back; for searches.
+    /// Returns the same voter on a clock that reads `to` where this one reads `to + by`. State-space searches
+    /// use it to merge states that differ only in time.
     #[must_use]
     pub fn rebased(&self, to: Micros, by: Micros, lease: Lease) -> Self {
         let back = |at: Micros| at.saturating_sub(by).max(to.saturating_sub(2 * lease.voter_duration));
         let mut next = self.clone();
-        if let Trust::Silent(until) = &mut next.trust {
+        if let Phase::Silent(until) = &mut next.phase {
             *until = back(*until);
         }
-        next.next = to;
-        next.patience = back(next.patience);
-        if next.trust == Trust::Votes {
-            (next.patience, next.unpersisted, next.writes) = (to, false, 0);
+        next.next_request = to;
+        next.wait_for_all_until = back(next.wait_for_all_until);
+        if next.phase == Phase::Voting {
+            (next.wait_for_all_until, next.unpersisted, next.write_count) = (to, false, 0);
         }
-        for kept in next.kept.values_mut() {
-            kept.lease = kept.lease.map(|(life, until)| (life, back(until))).filter(|(_, until)| *until > to);
+        for leased in next.registers.values_mut() {
+            leased.lease =
+                leased.lease.map(|(process, until)| (process, back(until))).filter(|(_, until)| *until > to);
         }
         next
     }
@@ -329,14 +352,14 @@
     use crate::ballot::Ballot;
 
     const LEASE: Lease = Lease { holder_duration: 10, voter_duration: 12 };
-    const ME: ProcessId = ProcessId { member: 1, instance: 70 };
-    const VOTES: VoterFlags = VoterFlags { voting: true, fresh: false };
+    const LOCAL: ProcessId = ProcessId { member: 1, instance: 70 };
+    const VOTING: VoterFlags = VoterFlags { voting: true, fresh: false };
 
     fn voters() -> VoterSet {
         VoterSet::new([1, 2, 3])
     }
 
-    fn found(number: u64) -> StoredVoter {
+    fn stored(number: u64) -> StoredVoter {
         let promised = Ballot { number, proposer: ProcessId { member: 2, instance: 9 } };
         StoredVoter {
             write_count: 10,
@@ -345,10 +368,10 @@
     }
 
     #[test]
-    fn one_whose_folder_was_kept_votes_once_a_majority_knows_no_better() {
-        let mut voter = Voter::new(100, ME, 4, LEASE, Some(found(3)));
-        let (nonce, began) = voter.tick(100, LEASE, &voters());
-        assert!(!began && voter.register_mut(5).is_none());
+    fn votes_with_an_intact_folder_once_a_majority_knows_of_no_later_state() {
+        let mut voter = Voter::new(100, LOCAL, 4, LEASE, Some(stored(3)));
+        let (nonce, started) = voter.tick(100, LEASE, &voters());
+        assert!(!started && voter.register_mut(5).is_none());
         let nonce = nonce.expect("asks");
         assert!(
             !voter.handle_recovery_response(
@@ -357,82 +380,82 @@
                 &voters(),
                 2,
                 nonce + 1,
-                VOTES,
+                VOTING,
                 (None, 0),
                 None,
                 (0, 1)
             ),
-            "another question"
+            "response to another request"
         );
-        let this = (Some((4, 70)), 10);
+        let remembers = (Some((4, 70)), 10);
         assert!(
-            !voter.handle_recovery_response(101, LEASE, &voters(), 2, nonce, VOTES, this, None, (0, 1)),
-            "the third may know better"
+            !voter.handle_recovery_response(101, LEASE, &voters(), 2, nonce, VOTING, remembers, None, (0, 1)),
+            "the third voter may know of a later process"
         );
-        assert_eq!(voter.tick(110, LEASE, &voters()), (None, true), "it had its time");
+        assert_eq!(voter.tick(110, LEASE, &voters()), (None, true), "the wait for all voters is over");
         assert_eq!(voter.register_mut(5).map(|k| k.register.promised.number), Some(3));
     }
 
     #[test]
-    fn one_with_an_old_copy_or_none_is_silent_and_then_learns_from_a_majority_of_the_others() {
-        for folder in [Some(found(3)), None] {
+    fn stays_silent_with_an_old_or_empty_folder_and_then_recovers_from_a_majority_of_the_others() {
+        for folder in [Some(stored(3)), None] {
             let empty = folder.is_none();
-            let mut voter = Voter::new(100, ME, 4, LEASE, folder);
+            let mut voter = Voter::new(100, LOCAL, 4, LEASE, folder);
             let nonce = voter.tick(100, LEASE, &voters()).0;
             if !empty {
-                // Boot 4 with another life: this one was started from a copy.
+                // Same boot number with another instance: this process was started from a copy.
                 voter.handle_recovery_response(
                     101,
                     LEASE,
                     &voters(),
                     2,
                     nonce.expect("asks"),
-                    VOTES,
+                    VOTING,
                     (Some((4, 69)), 0),
                     None,
                     (0, 1),
                 );
             }
             assert_eq!(voter.status(), VoteStatus::Silent);
-            assert_eq!(voter.tick(123, LEASE, &voters()), (None, false), "silent");
+            assert_eq!(voter.tick(123, LEASE, &voters()), (None, false), "still in the silent period");
             let (nonce, _) = voter.tick(126, LEASE, &voters());
             let nonce = nonce.expect("asks");
-            let newer = found(9).registers[&5].clone();
-            // The last part before the first.
-            voter.handle_recovery_response(127, LEASE, &voters(), 3, nonce, VOTES, (None, 0), None, (1, 2));
+            let newer = stored(9).registers[&5].clone();
+            // The last part arrives before the first.
+            voter.handle_recovery_response(127, LEASE, &voters(), 3, nonce, VOTING, (None, 0), None, (1, 2));
             voter.handle_recovery_response(
                 127,
                 LEASE,
                 &voters(),
                 2,
                 nonce,
-                VOTES,
+                VOTING,
                 (None, 30),
                 Some((5, &newer)),
                 (0, 1),
             );
-            assert!(!voter.is_voting(), "one of two others, and half of the other");
+            assert!(!voter.is_voting(), "one complete and one incomplete answer of two");
             assert!(voter.handle_recovery_response(
                 128,
                 LEASE,
                 &voters(),
                 3,
                 nonce,
-                VOTES,
+                VOTING,
                 (None, 0),
                 None,
                 (0, 2)
             ));
             assert_eq!(voter.register_mut(5).map(|k| k.register.promised.number), Some(9));
-            assert_eq!(voter.begin_write().write_count, 31, "above all that anybody has heard of it");
+            assert_eq!(voter.begin_write().write_count, 31, "above every count that others remember");
         }
     }
 
-    /// A copy of an hour ago, of the same life: started twice before it met anybody, its boots are above all that others
-    /// remember, but what it wrote is not.
+    /// A copy of the folder from an hour ago that was started several times before it reached another voter
+    /// may have a higher boot number than the others remember. Its write count shows that it is outdated.
     #[test]
-    fn a_copy_of_an_hour_ago_is_found_out_however_often_it_was_started() {
-        let mut voter = Voter::new(100, ME, 9, LEASE, Some(found(3)));
+    fn detects_an_outdated_copy_by_its_write_count_however_often_it_was_started() {
+        let mut voter = Voter::new(100, LOCAL, 9, LEASE, Some(stored(3)));
         let nonce = voter.tick(100, LEASE, &voters()).0.expect("asks");
         assert!(!voter.handle_recovery_response(
             101,
@@ -440,7 +463,7 @@
             &voters(),
             2,
             nonce,
-            VOTES,
+            VOTING,
             (Some((4, 69)), 11),
             None,
             (0, 1)
@@ -449,8 +472,8 @@
     }
 
     #[test]
-    fn all_that_begin_with_nothing_found_together_and_none_alone() {
-        let mut voter = Voter::new(0, ME, 1, LEASE, None);
+    fn starts_voting_with_no_registers_only_if_all_voters_have_none() {
+        let mut voter = Voter::new(0, LOCAL, 1, LEASE, None);
         let nonce = voter.tick(24, LEASE, &voters()).0.expect("asks");
         let fresh = VoterFlags { voting: false, fresh: true };
         assert!(!voter.handle_recovery_response(
@@ -476,8 +499,8 @@
             (0, 1)
         ));
         assert!(voter.flags().voting && voter.flags().fresh);
-        // A roster of one.
-        let mut alone = Voter::new(0, ME, 1, LEASE, None);
+        // A single voter.
+        let mut alone = Voter::new(0, LOCAL, 1, LEASE, None);
         assert_eq!(alone.tick(24, LEASE, &VoterSet::new([1])), (None, true));
     }
 }
