--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -30,13 +30,13 @@
 
 mod credit;
 mod findings;
-mod newcomer;
+mod initial_sync;
 mod outages;
 mod waits;
 
 pub use credit::{CREDIT_REFILL_DIVISOR, Credit, MAX_CREDIT};
 pub use findings::{CallOutcome, Finding, OutageReport};
-pub use newcomer::InitialSync;
+pub use initial_sync::InitialSync;
 pub use outages::{Admission, DestState, Outage, OutageDetector, SlowStart};
 pub use waits::{KnownWait, MAX_WAIT, WaitReport, WaitTable};
 
--- a/crates/rights/src/keeper.rs
+++ b/crates/rights/src/coordinator.rs
@@ -1,9 +1,9 @@
 //! Who gathers what members lend and grants it to those that need more. Any member may be one at any time, several at
 //! once too, and it may vanish at any moment: it only ever grants what was promised to itself.
 
+use crate::durations::{LeaseDurations, Micros};
 use crate::holder::{Grant, Request};
-use crate::plan::water_fill;
-use crate::spans::{LeaseDurations, Micros};
+use crate::water_fill::water_fill;
 use std::collections::BTreeMap;
 
 /// A grant that differs from the last one by less than this part (one in so many) is left as it was: it would move
--- a/crates/rights/src/holder.rs
+++ b/crates/rights/src/holder.rs
@@ -1,6 +1,6 @@
 //! A member's side of one limit: what it may use, what it has promised, what it was granted.
 
-use crate::spans::{LeaseDurations, Micros};
+use crate::durations::{LeaseDurations, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/rights/src/lib.rs
+++ b/crates/rights/src/lib.rs
@@ -50,23 +50,23 @@
 //! assert_eq!((idle.right(now), busy.right(now)), (floor, floor));
 //! ```
 
+mod coordinator;
+mod durations;
 mod holder;
-mod keeper;
-mod meter;
-mod plan;
-mod sharing;
-mod spans;
-mod tokens;
+mod rate_meter;
+mod shared_limits;
+mod token_bucket;
+mod water_fill;
 
+pub use coordinator::Coordinator;
+pub use durations::{LeaseDurations, Micros};
 pub use holder::{Grant, Holder, Offer, Request};
-pub use keeper::Coordinator;
-pub use meter::RateMeter;
-pub use plan::water_fill;
-pub use sharing::{
+pub use rate_meter::RateMeter;
+pub use shared_limits::{
     Envelope, Limit, LimitStatus, MAX_PAYLOADS, Payload, Refusals, SharedLimits, retry_limit_id,
 };
-pub use spans::{LeaseDurations, Micros};
-pub use tokens::TokenBucket;
+pub use token_bucket::TokenBucket;
+pub use water_fill::water_fill;
 
 /// One call a second, in the unit of all rights: whole numbers, so that sums are exact.
 pub const CALL: u64 = 1_000_000;
--- a/crates/rights/src/meter.rs
+++ b/crates/rights/src/rate_meter.rs
@@ -1,6 +1,6 @@
 //! How much is asked for: a count that fades.
 
-use crate::spans::Micros;
+use crate::durations::Micros;
 
 /// Calls a second that were lately asked for, fading by half in each `half` (microseconds).
 #[derive(Clone, Debug)]
--- a/crates/rights/src/sharing.rs
+++ b/crates/rights/src/shared_limits.rs
@@ -6,11 +6,11 @@
 //!
 //! Whom a member takes for the keeper of a limit follows from its own view, by rendezvous hashing: nobody has to agree.
 
+use crate::coordinator::Coordinator;
+use crate::durations::{LeaseDurations, Micros};
 use crate::holder::{Grant, Holder, Request};
-use crate::keeper::Coordinator;
-use crate::meter::RateMeter;
-use crate::spans::{LeaseDurations, Micros};
-use crate::tokens::TokenBucket;
+use crate::rate_meter::RateMeter;
+use crate::token_bucket::TokenBucket;
 use crate::{CALL, PARTS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/rights/src/tokens.rs
+++ b/crates/rights/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! From a right to single calls.
 
 use crate::CALL;
-use crate::spans::Micros;
+use crate::durations::Micros;
 
 /// One whole call, in millionths of a call.
 const WHOLE: u64 = 1_000_000;
