--- a/crates/rights/src/coordinator.rs
+++ b/crates/rights/src/coordinator.rs
@@ -1,130 +1,147 @@
-//! Who gathers what members lend and grants it to those that need more. Any member may be one at any time, several at
-//! once too, and it may vanish at any moment: it only ever grants what was promised to itself.
+//! The coordinator of a limit: collects what members lend and grants it to those that need more. Any member
+//! may be one at any time, several may act at once, and one may vanish at any instant: a coordinator grants
+//! only what was lent to itself.
 
 use crate::durations::{LeaseDurations, Micros};
 use crate::holder::{Grant, Request};
 use crate::water_fill::water_fill;
 use std::collections::BTreeMap;
 
-/// A grant that differs from the last one by less than this part (one in so many) is left as it was: it would move
-/// rights to and fro for nothing.
+/// A grant whose planned amount differs from the last one by less than one part in this many stays unchanged,
+/// as rights would otherwise move back and forth for nothing.
 const HYSTERESIS: u64 = 20;
 
-/// What is known of a member.
+/// What the coordinator knows of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Known {
-    /// Promises, with when they run out by this clock.
+struct Member {
+    /// Loans: time of expiry by this clock, and amount.
     lent: Vec<(Micros, u64)>,
-    /// Grants that may still be used, with when they can be no more.
+    /// Grants that may still be in use: time after which they can't be, and amount.
     granted: Vec<(Micros, u64)>,
-    /// What it wants, and when it said so.
-    more: u64,
-    heard: Micros,
+    /// Amount of the latest request, and when it was received.
+    extra: u64,
+    received_at: Micros,
 }
 
-/// A keeper of one limit. Members are named by numbers, as the host has them.
+/// The coordinator of one limit. Members are identified by numbers that the host assigns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    members: BTreeMap<u64, Known>,
-    /// It grants nothing before: members may still use what an earlier life of it granted out of the same promises.
-    starts: Micros,
+    members: BTreeMap<u64, Member>,
+    /// Time before which nothing is granted: members may still use grants that an earlier run made from the
+    /// same loans.
+    grants_from: Micros,
 }
 
 impl Coordinator {
-    /// A keeper that starts.
-    pub fn new(now: Micros, spans: LeaseDurations) -> Self {
-        Coordinator { members: BTreeMap::new(), starts: now.saturating_add(spans.grant_max) }
+    /// Returns a coordinator that starts at `now`.
+    pub fn new(now: Micros, durations: LeaseDurations) -> Self {
+        Coordinator { members: BTreeMap::new(), grants_from: now.saturating_add(durations.grant_max) }
     }
 
-    /// The moment that a member's answer is counted from: to be sent to it.
+    /// Returns the time from which a loan counts if a member makes it in answer to a question sent at `now`.
     pub fn ask_time(&self, now: Micros) -> Micros {
         now
     }
 
-    /// What is promised for at least as long as a grant that is made now.
-    pub fn pool(&self, now: Micros, spans: LeaseDurations) -> u64 {
-        let lasts = now.saturating_add(spans.grant_max);
-        self.members.values().map(|known| most(&known.lent, lasts)).sum()
+    /// Returns the sum of loans that last at least as long as a grant made at `now`.
+    pub fn pool(&self, now: Micros, durations: LeaseDurations) -> u64 {
+        let until = now.saturating_add(durations.grant_max);
+        self.members.values().map(|member| max_amount(&member.lent, until)).sum()
     }
 
-    /// What may be in use of its grants.
+    /// Returns the sum of grants that may be in use at `now`.
     pub fn outstanding(&self, now: Micros) -> u64 {
-        self.members.values().map(|known| most(&known.granted, now)).sum()
+        self.members.values().map(|member| max_amount(&member.granted, now)).sum()
     }
 
-    /// A member speaks; what it is granted.
-    pub fn handle_request(&mut self, now: Micros, from: u64, want: &Request, spans: LeaseDurations) -> Grant {
-        for known in self.members.values_mut() {
-            known.lent.retain(|(until, _)| now < *until);
-            known.granted.retain(|(until, _)| now < *until);
-            // One that is silent wants nothing any more.
-            if now >= known.heard.saturating_add(spans.grant) {
-                known.more = 0;
+    /// Handles a member's request and returns the grant.
+    pub fn handle_request(
+        &mut self,
+        now: Micros,
+        from: u64,
+        request: &Request,
+        durations: LeaseDurations,
+    ) -> Grant {
+        for member in self.members.values_mut() {
+            member.lent.retain(|(until, _)| now < *until);
+            member.granted.retain(|(until, _)| now < *until);
+            // A member that has sent nothing for the duration of a grant requests nothing any more.
+            if now >= member.received_at.saturating_add(durations.grant) {
+                member.extra = 0;
             }
         }
-        self.members.retain(|_, k| k.more > 0 || !k.lent.is_empty() || !k.granted.is_empty());
-        let known = self.members.entry(from).or_default();
-        (known.more, known.heard) = (want.extra, now);
-        // One that comes late is worth what is left of it; one from the future was never asked for.
-        if let Some(offer) = want.offer.filter(|o| o.asked_at <= now) {
-            let until = offer.asked_at.saturating_add(spans.loan);
-            // What lasts no longer and is no more adds nothing.
-            known.lent.retain(|(old, amount)| *amount > offer.amount || *old > until);
-            known.lent.push((until, offer.amount));
+        self.members.retain(|_, m| m.extra > 0 || !m.lent.is_empty() || !m.granted.is_empty());
+        let member = self.members.entry(from).or_default();
+        (member.extra, member.received_at) = (request.extra, now);
+        // A loan counts from the question, so a late answer is valid for the rest of its lease only. A
+        // question from the future was never asked.
+        if let Some(offer) = request.offer.filter(|o| o.asked_at <= now) {
+            let until = offer.asked_at.saturating_add(durations.loan);
+            // Drops loans that neither last longer nor are larger than the new one.
+            member.lent.retain(|(old, amount)| *amount > offer.amount || *old > until);
+            member.lent.push((until, offer.amount));
         }
-        let amount = self.amount(now, from, spans);
+        let amount = self.amount(now, from, durations);
         if amount > 0
-            && let Some(known) = self.members.get_mut(&from)
+            && let Some(member) = self.members.get_mut(&from)
         {
-            let until = now.saturating_add(spans.grant_max);
-            known.granted.retain(|(_, old)| *old > amount);
-            known.granted.push((until, amount));
+            let until = now.saturating_add(durations.grant_max);
+            member.granted.retain(|(_, old)| *old > amount);
+            member.granted.push((until, amount));
         }
-        Grant { requested_at: want.sent_at, amount, asked_at: self.ask_time(now) }
+        Grant { requested_at: request.sent_at, amount, asked_at: self.ask_time(now) }
     }
 
-    /// What a member is to have: its part by the plan, as far as what others may still use leaves room.
-    fn amount(&self, now: Micros, from: u64, spans: LeaseDurations) -> u64 {
-        if now < self.starts {
+    /// Returns the amount to grant to a member: its fair share of the pool, limited by what the grants of
+    /// others leave.
+    fn amount(&self, now: Micros, from: u64, durations: LeaseDurations) -> u64 {
+        if now < self.grants_from {
             return 0;
         }
-        let pool = self.pool(now, spans);
-        let wants: Vec<u64> = self.members.values().map(|known| known.more).collect();
-        let parts = water_fill(pool, &wants);
-        let part = self.members.keys().zip(parts).find(|(id, _)| **id == from).map_or(0, |(_, part)| part);
-        let others: u64 =
-            self.members.iter().filter(|(id, _)| **id != from).map(|(_, k)| most(&k.granted, now)).sum();
-        let last = self.members.get(&from).and_then(|k| k.granted.last()).map_or(0, |(_, amount)| *amount);
-        // What it has is left as it is where the plan would hardly change it, as far as that is still there.
-        let part = if part.abs_diff(last) < last / HYSTERESIS { last } else { part };
-        part.min(pool.saturating_sub(others))
+        let pool = self.pool(now, durations);
+        let requests: Vec<u64> = self.members.values().map(|member| member.extra).collect();
+        let shares = water_fill(pool, &requests);
+        let share =
+            self.members.keys().zip(shares).find(|(id, _)| **id == from).map_or(0, |(_, share)| share);
+        let to_others: u64 = self
+            .members
+            .iter()
+            .filter(|(id, _)| **id != from)
+            .map(|(_, m)| max_amount(&m.granted, now))
+            .sum();
+        let last = self.members.get(&from).and_then(|m| m.granted.last()).map_or(0, |(_, amount)| *amount);
+        // Keeps the last grant where the new share hardly differs, as far as the pool still covers it.
+        let share = if share.abs_diff(last) < last / HYSTERESIS { last } else { share };
+        share.min(pool.saturating_sub(to_others))
     }
 
-    /// As `Holder::rebased`.
-    pub fn rebased(&self, now: Micros, back: Micros) -> Self {
+    /// Returns the same state on a clock that reads `offset` less, at `now` of that clock, without expired
+    /// entries. State space searches use it to recognise equal states.
+    pub fn rebased(&self, now: Micros, offset: Micros) -> Self {
         let mut same = self.clone();
-        same.starts = same.starts.saturating_sub(back).max(now);
-        for known in same.members.values_mut() {
-            for list in [&mut known.lent, &mut known.granted] {
-                list.iter_mut().for_each(|(until, _)| *until = until.saturating_sub(back));
-                list.retain(|(until, _)| now < *until);
-                list.sort_unstable();
+        same.grants_from = same.grants_from.saturating_sub(offset).max(now);
+        for member in same.members.values_mut() {
+            for leases in [&mut member.lent, &mut member.granted] {
+                leases.iter_mut().for_each(|(until, _)| *until = until.saturating_sub(offset));
+                leases.retain(|(until, _)| now < *until);
+                leases.sort_unstable();
             }
-            known.heard = known.heard.saturating_sub(back);
+            member.received_at = member.received_at.saturating_sub(offset);
         }
         same
     }
 
-    /// Forgets what says nothing of safety: for searches, in which wants come anew each time.
+    /// Returns the state without requests, which do not bear on safety: state space searches draw them anew
+    /// in each step.
     pub fn without_requests(&self) -> Self {
         let mut same = self.clone();
-        same.members.values_mut().for_each(|k| (k.more, k.heard) = (0, 0));
-        same.members.retain(|_, k| !k.lent.is_empty() || !k.granted.is_empty());
+        same.members.values_mut().for_each(|m| (m.extra, m.received_at) = (0, 0));
+        same.members.retain(|_, m| !m.lent.is_empty() || !m.granted.is_empty());
         same
     }
 }
 
-/// The most of a list that lasts until a moment or longer.
-fn most(list: &[(Micros, u64)], lasts: Micros) -> u64 {
-    list.iter().filter(|(until, _)| lasts < *until).map(|(_, amount)| *amount).max().unwrap_or(0)
+/// Returns the largest amount of the leases that last beyond `until`.
+fn max_amount(leases: &[(Micros, u64)], until: Micros) -> u64 {
+    leases.iter().filter(|(end, _)| until < *end).map(|(_, amount)| *amount).max().unwrap_or(0)
 }
--- a/crates/rights/src/durations.rs
+++ b/crates/rights/src/durations.rs
@@ -1,32 +1,37 @@
-//! How long what lasts.
+//! Durations of leases.
 
-/// Microseconds, on the clock of the process that counts them.
+/// Microseconds, on the clock of the process that measures them.
 pub type Micros = u64;
 
-/// LeaseDurations of leases (microseconds).
+/// Durations of the leases of grants and loans (microseconds).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseDurations {
-    /// A grant, for the borrower, since it asked.
+    /// Duration of a grant for the borrower, from when it asked.
     pub grant: Micros,
-    /// A promise, for the keeper, since it asked: twice as long, so that grants can be made out of it.
+    /// Duration of a loan for the coordinator, from when it asked: at least twice that of a grant, so that
+    /// grants can be made from it.
     pub loan: Micros,
-    /// The same for the other side, since it answered.
+    /// Duration of a grant for the coordinator, from when it answered: longer than `grant` by the clock
+    /// drift.
     pub grant_max: Micros,
-    /// See `grant_wide`.
+    /// Duration of a loan for the lender, from when it answered: longer than `loan` by the clock drift.
     pub loan_max: Micros,
 }
 
 impl LeaseDurations {
-    /// For grants of this span, and clock rates that are right within `drift` (a part of 1).
+    /// Returns the durations for grants of duration `grant` and clock rates correct within `drift` (a
+    /// fraction of 1).
     pub fn new(grant: Micros, drift: f64) -> Self {
-        let wide = |span: Micros| (span as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
-        let grant_wide = wide(grant);
-        // A promise that was made lately must outlast a grant that is made now.
-        let lend = grant_wide * 2;
-        LeaseDurations { grant, loan: lend, grant_max: grant_wide, loan_max: wide(lend) }
+        let with_drift =
+            |duration: Micros| (duration as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Micros + 1;
+        let grant_max = with_drift(grant);
+        // A recent loan must outlast a grant that is made now.
+        let loan = grant_max * 2;
+        LeaseDurations { grant, loan, grant_max, loan_max: with_drift(loan) }
     }
 
-    /// How often members and keepers speak: three messages may be lost in a row.
+    /// Returns the interval between a member's requests: a quarter of a grant, so that three messages in a
+    /// row may be lost.
     pub fn round_interval(&self) -> Micros {
         self.grant / 4
     }
--- a/crates/rights/src/lib.rs
+++ b/crates/rights/src/lib.rs
@@ -1,51 +1,55 @@
-//! A limit that a fleet shares, cut into rights: each member has a floor, its even part, and lends what it does not need
-//! to a keeper, which grants it to those that need more. Everything is lent and granted under leases in time. No I/O, no
-//! clock: moments come in, and messages go out as values. `docs/design-rights.md` weighs the options.
+//! A limit shared by a fleet and divided into rights, as in escrow and bounded-counter schemes. Each member
+//! owns an equal part, its floor. It lends what it does not need to a coordinator, which grants it to members
+//! that need more. All loans and grants are leases that expire by time. No I/O, no clock: times are passed
+//! in, and messages are returned as values. `docs/design-rights.md` weighs the options.
 //!
-//! **Theorem.** At every instant, what all members may use together is at most the sum of their floors: in any
-//! interleaving of loss, delay, copies, reordering, partition, stops, and restarts with any folder, and with any number
-//! of keepers that know nothing of each other.
+//! **Theorem.** At every instant the rights usable by all members together are at most the sum of their
+//! floors: under any interleaving of loss, delay, duplication, reordering, partition, process stops and
+//! restarts with any state folder, and with any number of coordinators that do not know of each other.
 //!
-//! **Why.** A member uses its floor less all that it has promised and that has not run out; a promise runs out for the
-//! member (`wide` of [`LeaseDurations::lend`] since it answered) after it does for the keeper (`lend` since it asked, which was
-//! before). A keeper counts only promises made to itself. It grants no more than it holds in promises that last longer
-//! than the grant, counting each grant for `wide` of [`LeaseDurations::grant`] since it answered, and so for longer than the
-//! borrower does (`grant` since it asked). So every unit that a borrower uses at an instant is one that some lender
-//! does not use. A member that starts has forgotten its promises: it uses nothing of its floor for `wide` of `lend`.
-//! A keeper that starts has forgotten what it granted out of promises that still last: it grants nothing for `wide` of
-//! `grant`. Nothing has to be on disk.
+//! **Proof sketch.** A member uses its floor less all loans that have not expired. A loan expires for the
+//! lender (`loan_max` of [`LeaseDurations`] after it answered) later than for the coordinator (`loan` after
+//! it asked, which was before the answer). A coordinator counts only loans made to itself. It grants no more
+//! than it holds in loans that last longer than the grant, and counts each grant for `grant_max` after it
+//! answered, and so for longer than the borrower does (`grant` after it asked). So each unit that a borrower
+//! uses at an instant is one that some lender does not use. A member that restarts has lost its record of
+//! loans: it uses nothing of its floor for `loan_max`. A coordinator that restarts has lost its record of
+//! grants made from loans that still last: it grants nothing for `grant_max`. No state needs to be on disk.
 //!
-//! **Assumptions.** Clock rates right within `drift`, on clocks that count stops; one process under a name. Rights are
-//! parts of a limit ([`SharedLimits`]): one that falls binds at once whoever knows of it, and the bound is the largest limit that
-//! anybody goes by. Members that go by rosters of different sizes have floors whose sum may pass the
-//! limit by the part by which the sizes differ.
+//! **Assumptions.** Clock rates are correct within `drift`, on clocks that also count time in which the
+//! process is stopped; at most one process runs under a name. Rights are fractions of a limit
+//! ([`SharedLimits`]): a limit that is lowered binds each member as soon as it learns of it, and the bound is
+//! the largest limit that any member still uses. Members that use rosters of different sizes have floors
+//! whose sum may exceed the limit by the part by which the sizes differ.
 //!
-//! - `spans`: how long what lasts
-//! - `holder`: a member's side; `keeper`: who gathers and grants
-//! - `plan`: what is granted to whom
-//! - `tokens`: from a right to single calls; `meter`: how many are asked for
-//! - `sharing`: all limits of one member, in parts of each, and whether a call may begin
+//! - `durations`: durations of leases
+//! - `holder`: a member's side of a limit
+//! - `coordinator`: collects loans and makes grants
+//! - `water_fill`: how a pool is divided between requests
+//! - `token_bucket`: turns a right into single calls
+//! - `rate_meter`: measures demand
+//! - `shared_limits`: all limits of one member, and whether a call may begin
 //!
 //! ```
 //! use yarrowhill_rights::*;
-//! let spans = LeaseDurations::new(1_000_000, 0.01);
-//! // Two members of a limit of 10 calls a second, both up for long; the first keeps.
+//! let durations = LeaseDurations::new(1_000_000, 0.01);
+//! // Two members share a limit of 10 calls per second. Both have long been up; the first is the coordinator.
 //! let floor = 5 * CALL;
-//! let (mut keeper, mut busy) = (Coordinator::new(0, spans), Holder::new(0, spans, floor));
-//! let mut idle = Holder::new(0, spans, floor);
+//! let (mut coordinator, mut busy) = (Coordinator::new(0, durations), Holder::new(0, durations, floor));
+//! let mut idle = Holder::new(0, durations, floor);
 //! let mut now = 10_000_000;
 //! for _ in 0..3 {
 //!     now += 200_000;
-//!     let ask = keeper.ask_time(now);
-//!     let want = idle.request(now, 1, CALL, Some(ask));
-//!     keeper.handle_request(now, 0, &want, spans);
-//!     let want = busy.request(now, 1, 12 * CALL, None);
-//!     let grant = keeper.handle_request(now, 1, &want, spans);
+//!     let asked_at = coordinator.ask_time(now);
+//!     let request = idle.request(now, 1, CALL, Some(asked_at));
+//!     coordinator.handle_request(now, 0, &request, durations);
+//!     let request = busy.request(now, 1, 12 * CALL, None);
+//!     let grant = coordinator.handle_request(now, 1, &request, durations);
 //!     busy.apply_grant(now, 1, &grant);
 //! }
 //! let (a, b) = (idle.right(now), busy.right(now));
 //! assert!(b > 8 * CALL && a + b <= 10 * CALL, "{a} {b}");
-//! // Nothing is heard any more: what was granted ends, and what was lent comes back.
+//! // No further messages arrive: the grant expires, and the loan returns to its lender.
 //! now += 3_000_000;
 //! assert_eq!((idle.right(now), busy.right(now)), (floor, floor));
 //! ```
@@ -68,8 +72,8 @@
 pub use token_bucket::TokenBucket;
 pub use water_fill::water_fill;
 
-/// One call a second, in the unit of all rights: whole numbers, so that sums are exact.
+/// One call per second in the unit of call rates, which are integers so that sums are exact.
 pub const CALL: u64 = 1_000_000;
 
-/// The whole of a limit, where rights are parts of it.
+/// Number of parts that a full limit consists of, where rights are fractions of a limit.
 pub const PARTS: u64 = 1_000_000_000_000;
--- a/crates/rights/src/rate_meter.rs
+++ b/crates/rights/src/rate_meter.rs
@@ -1,34 +1,34 @@
-//! How much is asked for: a count that fades.
+//! Measures demand with an exponentially decaying counter.
 
 use crate::durations::Micros;
 
-/// Calls a second that were lately asked for, fading by half in each `half` (microseconds).
+/// Rate of recent calls; their weight halves in each `half_life` (microseconds).
 #[derive(Clone, Debug)]
 pub struct RateMeter {
-    half: f64,
+    half_life: f64,
     count: f64,
     at: Micros,
 }
 
 impl RateMeter {
-    /// Nothing asked yet.
-    pub fn new(now: Micros, half: Micros) -> Self {
-        RateMeter { half: (half as f64).max(1.0), count: 0.0, at: now }
+    /// Returns a meter that has recorded nothing.
+    pub fn new(now: Micros, half_life: Micros) -> Self {
+        RateMeter { half_life: (half_life as f64).max(1.0), count: 0.0, at: now }
     }
 
-    fn faded(&self, now: Micros) -> f64 {
-        self.count * (-(now.saturating_sub(self.at) as f64) / self.half).exp2()
+    fn decayed(&self, now: Micros) -> f64 {
+        self.count * (-(now.saturating_sub(self.at) as f64) / self.half_life).exp2()
     }
 
-    /// One more was asked for.
+    /// Records a call.
     pub fn record(&mut self, now: Micros) {
-        self.count = self.faded(now) + 1.0;
+        self.count = self.decayed(now) + 1.0;
         self.at = self.at.max(now);
     }
 
-    /// Calls a second, as far as what was lately asked tells.
+    /// Returns an estimate of the rate of calls (calls per second).
     pub fn rate(&self, now: Micros) -> f64 {
-        self.faded(now) * std::f64::consts::LN_2 * 1e6 / self.half
+        self.decayed(now) * std::f64::consts::LN_2 * 1e6 / self.half_life
     }
 }
 
@@ -37,7 +37,7 @@
     use super::*;
 
     #[test]
-    fn it_tells_what_is_asked_and_forgets_it() {
+    fn estimates_the_rate_and_decays_without_calls() {
         let mut meter = RateMeter::new(0, 500_000);
         (0..200).for_each(|n| meter.record(n * 25_000));
         let rate = meter.rate(199 * 25_000);
--- a/crates/rights/src/token_bucket.rs
+++ b/crates/rights/src/token_bucket.rs
@@ -1,58 +1,59 @@
-//! From a right to single calls.
+//! Turns a right into single calls.
 
 use crate::CALL;
 use crate::durations::Micros;
 
-/// One whole call, in millionths of a call.
-const WHOLE: u64 = 1_000_000;
+/// One call, in millionths of a call.
+const ONE_CALL: u64 = 1_000_000;
 
-/// Fills by the right that holds at each moment, and gives a call for each whole that it holds. It holds one call and a
-/// tenth of a second of the right at most: so over any span `w` a member calls at most its right times `w` and
-/// that, and a fleet at most its limit times `w` and a tenth of a second, and one call a member.
+/// A token bucket that fills at the rate of the current right. It holds at most one call and a tenth of a
+/// second of the right. So in any window `w` a member makes at most its right times `w` plus that many calls,
+/// and a fleet at most its limit times `w`, plus a tenth of a second of the limit, plus one call per member.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBucket {
-    held: u64,
-    filled: Micros,
+    level: u64,
+    filled_at: Micros,
     right: u64,
 }
 
 impl TokenBucket {
-    /// An empty one: a start brings no calls.
+    /// Returns an empty bucket: a restart yields no calls.
     pub fn new(now: Micros) -> Self {
-        TokenBucket { held: 0, filled: now, right: 0 }
+        TokenBucket { level: 0, filled_at: now, right: 0 }
     }
 
-    /// Fills by the right that held since the last look, or the one that holds now if that is less: a right that ran out
-    /// while nobody looked has filled nothing since.
+    /// Fills the bucket for the time since the last refill, at the smaller of the right then and the right
+    /// now: a right that expired between two refills has added nothing since.
     pub fn refill(&mut self, now: Micros, right: u64) {
-        let span = now.saturating_sub(self.filled);
-        let by = self.right.min(right);
-        let gained = u128::from(by) * u128::from(span) / u128::from(CALL);
-        let most = WHOLE + right / 10;
-        self.held = self.held.saturating_add(u64::try_from(gained).unwrap_or(u64::MAX)).min(most);
-        (self.filled, self.right) = (self.filled.max(now), right);
+        let elapsed = now.saturating_sub(self.filled_at);
+        let rate = self.right.min(right);
+        let gained = u128::from(rate) * u128::from(elapsed) / u128::from(CALL);
+        let max = ONE_CALL + right / 10;
+        self.level = self.level.saturating_add(u64::try_from(gained).unwrap_or(u64::MAX)).min(max);
+        (self.filled_at, self.right) = (self.filled_at.max(now), right);
     }
 
-    /// Whether there is a call to take.
+    /// Returns whether the bucket holds a call.
     pub fn has_token(&self) -> bool {
-        self.held >= WHOLE
+        self.level >= ONE_CALL
     }
 
-    /// Takes a call if there is one.
+    /// Takes a call from the bucket and returns whether there was one.
     pub fn take(&mut self) -> bool {
-        let there = self.has_token();
-        if there {
-            self.held -= WHOLE;
+        let available = self.has_token();
+        if available {
+            self.level -= ONE_CALL;
         }
-        there
+        available
     }
 
-    /// When there will be one if the right stays, for one that looked just now.
+    /// Returns when the bucket will hold a call if the right stays as at the last refill, or none if the
+    /// right is zero.
     pub fn next_token_at(&self) -> Option<Micros> {
-        let lacks = WHOLE.saturating_sub(self.held);
+        let missing = ONE_CALL.saturating_sub(self.level);
         (self.right > 0).then(|| {
-            let span = u128::from(lacks) * u128::from(CALL) / u128::from(self.right);
-            self.filled.saturating_add(u64::try_from(span).unwrap_or(u64::MAX) + 1)
+            let wait = u128::from(missing) * u128::from(CALL) / u128::from(self.right);
+            self.filled_at.saturating_add(u64::try_from(wait).unwrap_or(u64::MAX) + 1)
         })
     }
 }
@@ -62,17 +63,17 @@
     use super::*;
 
     #[test]
-    fn calls_follow_the_right() {
-        let mut tokens = TokenBucket::new(0);
+    fn yields_calls_at_the_rate_of_the_right() {
+        let mut bucket = TokenBucket::new(0);
         let mut calls = 0;
         for now in (0..10_000_000).step_by(10_000) {
-            tokens.refill(now, 7 * CALL);
-            while tokens.take() {
+            bucket.refill(now, 7 * CALL);
+            while bucket.take() {
                 calls += 1;
             }
         }
         assert!((68..=70).contains(&calls), "{calls}");
-        // Less than one call in two minutes: in the end there is one.
+        // A right of one call in 150 seconds yields that call after 150 seconds.
         let mut slow = TokenBucket::new(0);
         slow.refill(0, CALL / 150);
         assert!(slow.next_token_at().is_some_and(|at| (149_000_000..151_000_000).contains(&at)));
@@ -83,11 +84,11 @@
     }
 
     #[test]
-    fn a_right_that_ran_out_unseen_fills_nothing() {
-        let mut tokens = TokenBucket::new(0);
-        tokens.refill(0, 100 * CALL);
-        // Stopped for a minute; its right is gone.
-        tokens.refill(60_000_000, 0);
-        assert!(!tokens.take());
+    fn a_right_that_expired_between_refills_adds_nothing() {
+        let mut bucket = TokenBucket::new(0);
+        bucket.refill(0, 100 * CALL);
+        // The process was stopped for a minute, in which its right expired.
+        bucket.refill(60_000_000, 0);
+        assert!(!bucket.take());
     }
 }
--- a/crates/rights/src/water_fill.rs
+++ b/crates/rights/src/water_fill.rs
@@ -1,25 +1,25 @@
-//! What is granted to whom: max-min fairness.
+//! Max-min fair division of a pool between requests.
 
-/// Parts of a pool by water filling: nobody gets more than it wants, and nobody could get more without one that has no
-/// more getting less. Exact in whole units, up to one unit a member.
+/// Divides a pool by water filling: no share exceeds its request, and no share can grow without another that
+/// is not larger shrinking. Exact in whole units, up to one unit per member.
 ///
 /// ```
 /// use yarrowhill_rights::water_fill;
 /// assert_eq!(water_fill(10, &[2, 9, 0, 9]), [2, 4, 0, 4]);
 /// assert_eq!(water_fill(100, &[2, 9]), [2, 9]);
 /// ```
-pub fn water_fill(pool: u64, wants: &[u64]) -> Vec<u64> {
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_unstable_by_key(|n| wants[*n]);
-    let mut parts = vec![0; wants.len()];
-    let (mut left, mut members) = (pool, wants.len() as u64);
+pub fn water_fill(pool: u64, requests: &[u64]) -> Vec<u64> {
+    let mut order: Vec<usize> = (0..requests.len()).collect();
+    order.sort_unstable_by_key(|n| requests[*n]);
+    let mut shares = vec![0; requests.len()];
+    let (mut left, mut members) = (pool, requests.len() as u64);
     for n in order {
-        let part = wants[n].min(left / members.max(1));
-        parts[n] = part;
-        left -= part;
+        let share = requests[n].min(left / members.max(1));
+        shares[n] = share;
+        left -= share;
         members -= 1;
     }
-    parts
+    shares
 }
 
 #[cfg(test)]
@@ -28,19 +28,22 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Never more than there is or than is wanted; all of it where enough is wanted; and whoever lacks something has
-        /// as much as anybody, but for the rounding.
+        /// Shares never exceed the pool or the requests, use the whole pool where enough is requested, and
+        /// each member that gets less than its request has as much as any other, but for the rounding.
         #[test]
-        fn it_is_max_min_fair(pool in 0..10_000u64, wants in proptest::collection::vec(0..3000u64, 0..20)) {
-            let parts = water_fill(pool, &wants);
-            let sum: u64 = parts.iter().sum();
+        fn divides_max_min_fair(
+            pool in 0..10_000u64,
+            requests in proptest::collection::vec(0..3000u64, 0..20),
+        ) {
+            let shares = water_fill(pool, &requests);
+            let sum: u64 = shares.iter().sum();
             prop_assert!(sum <= pool);
-            prop_assert!(parts.iter().zip(&wants).all(|(part, want)| part <= want));
-            let wanted: u64 = wants.iter().sum();
-            prop_assert!(sum + wants.len() as u64 >= pool.min(wanted));
-            let most = parts.iter().max().copied().unwrap_or(0);
-            let lacks = parts.iter().zip(&wants).filter(|(part, want)| part < want);
-            prop_assert!(lacks.into_iter().all(|(part, _)| part + 1 >= most), "{parts:?}");
+            prop_assert!(shares.iter().zip(&requests).all(|(share, request)| share <= request));
+            let requested: u64 = requests.iter().sum();
+            prop_assert!(sum + requests.len() as u64 >= pool.min(requested));
+            let max = shares.iter().max().copied().unwrap_or(0);
+            let unmet = shares.iter().zip(&requests).filter(|(share, request)| share < request);
+            prop_assert!(unmet.into_iter().all(|(share, _)| share + 1 >= max), "{shares:?}");
         }
     }
 }
