--- a/crates/knowledge/src/credit.rs
+++ b/crates/knowledge/src/credit.rs
@@ -1,14 +1,15 @@
-//! How long one origin's word alone may hold a destination back.
+//! Bounds how long the reports of one origin alone may delay calls to a destination.
 
 use crate::Micros;
 
-/// What an origin's word alone may hold a destination back at a time (microseconds): as long as the longest wait that is
-/// believed of a destination itself.
+/// Longest time for which the reports of one origin alone may delay calls to a destination without a break
+/// (microseconds): as long as the longest wait accepted from the destination itself.
 pub const MAX_CREDIT: Micros = 60_000_000;
-/// It comes back at one in so many of the time that passes.
+/// Credit is regained at one in this many of the elapsed time.
 pub const CREDIT_REFILL_DIVISOR: u64 = 4;
 
-/// An origin's credit about a destination. It is spent while its word holds the destination back, and comes back slowly.
+/// An origin's credit for one destination. It is spent while the origin's report delays calls, and is
+/// regained slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Credit {
     left: Micros,
@@ -16,27 +17,29 @@
 }
 
 impl Credit {
-    /// All of it.
+    /// Returns full credit.
     pub fn new(now: Micros) -> Self {
         Credit { left: MAX_CREDIT, at: now }
     }
 
-    /// What is left at a moment at which nothing is held back.
+    /// Returns the credit available at a time at which no report delays calls.
     pub fn available(&self, now: Micros) -> Micros {
         self.left.saturating_add(now.saturating_sub(self.at) / CREDIT_REFILL_DIVISOR).min(MAX_CREDIT)
     }
 
-    /// A word holds until `until` from now on, in place of one that held until `before`: how long it may.
+    /// Spends credit on a report that asks for a delay until `until`, in place of one that held until
+    /// `before`, and returns the time until which it may delay calls.
     pub fn spend(&mut self, now: Micros, before: Micros, until: Micros) -> Micros {
-        // What the last word has not used comes back whole; while it held, nothing came back.
+        // The unused part of the previous report is returned in full; while that report held, nothing was
+        // regained.
         let unused = before.saturating_sub(now);
         let held = before.min(now).saturating_sub(self.at);
-        let since = now.saturating_sub(self.at).saturating_sub(held);
+        let idle = now.saturating_sub(self.at).saturating_sub(held);
         let left =
-            self.left.saturating_add(unused).saturating_add(since / CREDIT_REFILL_DIVISOR).min(MAX_CREDIT);
-        let span = until.saturating_sub(now).min(left);
-        (self.left, self.at) = (left - span, now);
-        now + span
+            self.left.saturating_add(unused).saturating_add(idle / CREDIT_REFILL_DIVISOR).min(MAX_CREDIT);
+        let granted = until.saturating_sub(now).min(left);
+        (self.left, self.at) = (left - granted, now);
+        now + granted
     }
 }
 
@@ -46,15 +49,16 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever an origin says and when, it holds for no more than its credit and a part of the time.
+        /// Whatever an origin reports and when, it delays calls for no more than its credit and a fraction of
+        /// the time.
         #[test]
-        fn one_origin_holds_for_its_credit_and_a_part_of_the_time(
-            words in proptest::collection::vec((0..20_000_000u64, 0..90_000_000u64), 1..60),
+        fn one_origin_delays_for_at_most_its_credit_and_a_fraction_of_the_time(
+            reports in proptest::collection::vec((0..20_000_000u64, 0..90_000_000u64), 1..60),
         ) {
             let start = 1_000_000;
             let (mut now, mut until, mut held) = (start, 0, 0);
             let mut credit = Credit::new(now);
-            for (pause, wait) in words {
+            for (pause, wait) in reports {
                 let next = now + pause;
                 held += until.clamp(now, next) - now;
                 now = next;
@@ -62,7 +66,11 @@
             }
             held += until.saturating_sub(now);
             let end = now.max(until);
-            prop_assert!(held <= MAX_CREDIT + (end - start) / CREDIT_REFILL_DIVISOR + 60, "{held} of {}", end - start);
+            prop_assert!(
+                held <= MAX_CREDIT + (end - start) / CREDIT_REFILL_DIVISOR + 60,
+                "{held} of {}",
+                end - start
+            );
         }
     }
 }
--- a/crates/knowledge/src/findings.rs
+++ b/crates/knowledge/src/findings.rs
@@ -1,29 +1,30 @@
-//! What one origin's own calls showed of a destination, as it is told to others.
+//! What one origin's own calls showed about a destination, as reported to other members.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// So many calls must fail in a row, none served between them, before a row says anything.
-const ROW: u32 = 3;
+/// Minimum number of consecutive failed calls, with none served between them, that count as an outage.
+const MIN_FAILURES: u32 = 3;
 
 /// What an origin found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finding {
-    /// All of its calls failed over a span; the last of them began so long ago (microseconds).
+    /// All of its calls failed over some time; contains the time since the last of them began (microseconds).
     Down(Micros),
-    /// After that one was served: it is back since so long ago (microseconds).
+    /// A call was served after an outage; contains the time since the recovery (microseconds).
     Recovered(Micros),
 }
 
 impl Finding {
-    /// How long ago the last call that it rests on began, or the destination was seen to be back (microseconds).
+    /// Returns the time since the last call that the finding rests on began, or since the recovery
+    /// (microseconds).
     pub fn age(self) -> Micros {
         match self {
             Finding::Down(age) | Finding::Recovered(age) => age,
         }
     }
 
-    /// The same, told so much later.
+    /// Returns the finding with its age increased by `by`.
     pub(crate) fn aged(self, by: Micros) -> Self {
         match self {
             Finding::Down(age) => Finding::Down(age.saturating_add(by)),
@@ -32,79 +33,83 @@
     }
 }
 
-/// One origin's word about one destination.
+/// One origin's report about one destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutageReport {
     /// The destination.
     pub dest: u64,
-    /// Whose calls.
+    /// The member whose calls led to the finding.
     pub origin: u64,
-    /// The origin's boot, and its count of words under that.
+    /// The origin's boot number, and the sequence number of the report under that.
     pub version: (u64, u64),
-    /// What they showed.
+    /// What the calls showed.
     pub finding: Finding,
 }
 
-/// How a call to a destination ended, as far as it says anything of the destination.
+/// Outcome of a call, as far as it shows whether the destination is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was served.
+    /// The call was served.
     Served,
-    /// It was refused for a limit: somebody lives there.
+    /// The call was refused because of a limit, so the destination is alive.
     Refused,
-    /// There was no connection, no answer in time, or a failure.
+    /// The call found no connection, no answer in time, or a failure.
     Failed,
 }
 
-/// One member's own calls to a destination.
+/// Outcomes of this member's own calls to one destination.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Own {
-    failed: u32,
-    /// When the first and the last failed call of the row began.
-    first: Micros,
-    last: Micros,
-    /// When the last call that was served began.
-    served: Option<Micros>,
+pub(crate) struct CallHistory {
+    /// Number of consecutive failed calls.
+    failures: u32,
+    /// Times at which the first and the last of these calls began.
+    first_failure: Micros,
+    last_failure: Micros,
+    /// Time at which the last served call began.
+    last_served: Option<Micros>,
 }
 
-impl Own {
-    /// A call has ended that began at a moment.
-    pub(crate) fn ended(&mut self, began: Micros, how: CallOutcome) {
-        match how {
+impl CallHistory {
+    /// Records the end of a call that began at `began`.
+    pub(crate) fn record(&mut self, began: Micros, outcome: CallOutcome) {
+        match outcome {
             CallOutcome::Served => {
-                self.served = Some(self.served.map_or(began, |last| last.max(began)));
-                self.failed = 0;
+                self.last_served = Some(self.last_served.map_or(began, |last| last.max(began)));
+                self.failures = 0;
             }
-            // Answered, but not served: it ends no row, since a door that is shut refuses too.
+            // Answered but not served: this doesn't end a run of failures, since a destination that is closed
+            // refuses calls too.
             CallOutcome::Refused => {}
-            // Of calls that were out together those that were served count: what is slow is not down.
-            CallOutcome::Failed if self.served.is_some_and(|served| began < served) => {}
+            // Of concurrent calls the served ones count: a slow destination is not down.
+            CallOutcome::Failed if self.last_served.is_some_and(|served| began < served) => {}
             CallOutcome::Failed => {
-                if self.failed == 0 {
-                    (self.first, self.last) = (began, began);
+                if self.failures == 0 {
+                    (self.first_failure, self.last_failure) = (began, began);
                 }
-                self.failed += 1;
-                self.first = self.first.min(began);
-                self.last = self.last.max(began);
+                self.failures += 1;
+                self.first_failure = self.first_failure.min(began);
+                self.last_failure = self.last_failure.max(began);
             }
         }
     }
 
-    /// When the last failed call began, where the row is long enough in calls and in time: a fast sender has three
-    /// failures in a row by chance, and those within a moment say little.
-    pub(crate) fn down(&self, span: Micros) -> Option<Micros> {
-        let long = self.failed >= ROW && self.last.saturating_sub(self.first) >= span;
-        long.then_some(self.last)
+    /// Returns when the last failed call began, if the run of failures is long enough both in calls and in
+    /// time (`min_duration`). A fast sender sees three consecutive failures by chance, and failures within an
+    /// instant show little.
+    pub(crate) fn outage(&self, min_duration: Micros) -> Option<Micros> {
+        let is_long = self.failures >= MIN_FAILURES
+            && self.last_failure.saturating_sub(self.first_failure) >= min_duration;
+        is_long.then_some(self.last_failure)
     }
 
-    /// Whether the last calls failed.
-    pub(crate) fn fails(&self) -> bool {
-        self.failed > 0
+    /// Returns whether calls have failed since the last served one.
+    pub(crate) fn has_failures(&self) -> bool {
+        self.failures > 0
     }
 
-    /// When the last call that was served began.
-    pub(crate) fn served(&self) -> Option<Micros> {
-        self.served
+    /// Returns when the last served call began.
+    pub(crate) fn last_served(&self) -> Option<Micros> {
+        self.last_served
     }
 }
 
@@ -113,18 +118,18 @@
     use super::*;
 
     #[test]
-    fn a_row_must_be_long_in_calls_and_in_time() {
-        let mut own = Own::default();
-        (0..50).for_each(|n| own.ended(n, CallOutcome::Failed));
-        assert_eq!(own.down(100), None, "all within a moment");
-        own.ended(200, CallOutcome::Failed);
-        assert_eq!(own.down(100), Some(200));
-        own.ended(210, CallOutcome::Refused);
-        assert_eq!(own.down(100), Some(200));
-        own.ended(220, CallOutcome::Served);
-        assert_eq!(own.down(100), None);
-        // One that began before the one that was served says nothing.
-        (0..9).for_each(|n| own.ended(20 + n * 20, CallOutcome::Failed));
-        assert_eq!((own.down(100), own.served()), (None, Some(220)));
+    fn an_outage_takes_enough_failures_over_enough_time() {
+        let mut history = CallHistory::default();
+        (0..50).for_each(|n| history.record(n, CallOutcome::Failed));
+        assert_eq!(history.outage(100), None, "all within too short a time");
+        history.record(200, CallOutcome::Failed);
+        assert_eq!(history.outage(100), Some(200));
+        history.record(210, CallOutcome::Refused);
+        assert_eq!(history.outage(100), Some(200));
+        history.record(220, CallOutcome::Served);
+        assert_eq!(history.outage(100), None);
+        // Failed calls that began before the last served one do not count.
+        (0..9).for_each(|n| history.record(20 + n * 20, CallOutcome::Failed));
+        assert_eq!((history.outage(100), history.last_served()), (None, Some(220)));
     }
 }
--- a/crates/knowledge/src/initial_sync.rs
+++ b/crates/knowledge/src/initial_sync.rs
@@ -1,13 +1,15 @@
-//! One that has just started knows nothing, and is told all by somebody before it takes anything on.
+//! Initial state transfer: a newly started member has no state, and obtains a peer's full state before it
+//! takes on messages.
 
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members whose parts are kept at a time: it asks few.
-const MEMBERS_MOST: usize = 16;
+/// Maximum number of members whose parts are tracked at a time; a starting member asks only a few.
+const MAX_MEMBERS: usize = 16;
 
-/// Asks until one member's answer has come whole, or a moment has passed. An answer may take several packets, any of which may be
-/// lost, and what others pass on to each other is no answer.
+/// Tracks whether one member's answer has arrived in full, or the deadline has passed. An answer may take
+/// several packets, any of which may be lost; reports that members spread among themselves are not part of an
+/// answer.
 #[derive(Clone, Debug)]
 pub struct InitialSync {
     until: Micros,
@@ -15,24 +17,24 @@
 }
 
 impl InitialSync {
-    /// One that asks until then at the latest.
+    /// Returns a transfer that ends at `until` at the latest.
     pub fn new(until: Micros) -> Self {
         InitialSync { until, parts: BTreeMap::new() }
     }
 
-    /// Whether it still has to be told.
+    /// Returns whether the member still has to ask for state.
     pub fn is_pending(&self, now: Micros) -> bool {
         now < self.until
     }
 
-    /// A part of a member's answer has come.
+    /// Records a part of a member's answer.
     pub fn record_part(&mut self, from: u64, part: u8, parts: u8) {
-        if part >= parts || (self.parts.len() >= MEMBERS_MOST && !self.parts.contains_key(&from)) {
+        if part >= parts || (self.parts.len() >= MAX_MEMBERS && !self.parts.contains_key(&from)) {
             return;
         }
-        let come = self.parts.entry(from).or_default();
-        come.insert(part);
-        if come.len() >= usize::from(parts) {
+        let received = self.parts.entry(from).or_default();
+        received.insert(part);
+        if received.len() >= usize::from(parts) {
             self.until = 0;
         }
     }
@@ -43,18 +45,21 @@
     use super::*;
 
     #[test]
-    fn it_asks_until_one_answer_is_whole() {
-        let mut one = InitialSync::new(100);
-        one.record_part(1, 0, 3);
-        one.record_part(1, 0, 3);
-        one.record_part(2, 2, 3);
-        one.record_part(2, 7, 3);
-        assert!(one.is_pending(99) && !one.is_pending(100), "of two halves of two answers none is whole");
-        one.record_part(1, 2, 3);
-        one.record_part(1, 1, 3);
-        assert!(!one.is_pending(5));
-        let mut other = InitialSync::new(100);
-        (0..1000).for_each(|from| other.record_part(from, 0, 2));
-        assert!(other.parts.len() <= MEMBERS_MOST);
+    fn stays_pending_until_one_answer_is_complete() {
+        let mut sync = InitialSync::new(100);
+        sync.record_part(1, 0, 3);
+        sync.record_part(1, 0, 3);
+        sync.record_part(2, 2, 3);
+        sync.record_part(2, 7, 3);
+        assert!(
+            sync.is_pending(99) && !sync.is_pending(100),
+            "parts of two answers do not make one complete"
+        );
+        sync.record_part(1, 2, 3);
+        sync.record_part(1, 1, 3);
+        assert!(!sync.is_pending(5));
+        let mut crowded = InitialSync::new(100);
+        (0..1000).for_each(|from| crowded.record_part(from, 0, 2));
+        assert!(crowded.parts.len() <= MAX_MEMBERS);
     }
 }
--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -1,31 +1,35 @@
-//! What members of a fleet tell each other of destinations: waits that a destination told to one of them, which the others, and
-//! newcomers too, then keep without having been told themselves; and outages that they found by their own calls, in which one
-//! tries first, and after which all come back along one ramp ([`OutageDetector`]). No I/O, no clock: moments, words and a seeded source of
-//! chance come in, words go out.
+//! Dissemination of what members of a fleet learn about destinations, by rumour mongering: waits that a
+//! destination returned to one member, which the others and newly started members then respect too
+//! ([`WaitTable`]); and outages found by members' own calls, in which one member probes first and after which
+//! all recover along one slow-start ramp ([`OutageDetector`]). No I/O, no clock: times, reports and a seeded
+//! source of randomness are passed in, and reports are returned.
 //!
-//! It is evidence, not command, and bounded as such. Of waits:
+//! Reports are evidence, not commands, and their effect is bounded. For waits:
 //!
-//! - **Origin and order.** A word is one origin's about one destination. Of two by the same origin the one of the higher
-//!   boot, then of the higher count, holds; so merging is a maximum: commutative, associative, idempotent.
-//! - **Time on the way.** A word says how long is left when it is sent. Whoever hears it counts from when it came: too long by
-//!   the time on the way, which is the safe side, and never longer by being passed on in circles, since a word that is
-//!   known already is not heard again.
-//! - **Own evidence outranks hearsay.** A call that began after a wait was heard of and was served ends the wait here.
-//! - **Harm.** What one origin says holds a destination back here for [`MAX_CREDIT`] at a time at most, and then for a quarter of
-//!   the time ([`CREDIT_REFILL_DIVISOR`]): whoever lies, or is broken, or tells old news, costs that and no more, until another origin says the
-//!   same of its own, or the destination does so itself.
+//! - **Origin and version.** A report is by one origin about one destination. Of two by the same origin the
+//!   one with the higher boot number, then the higher sequence number, holds; so merging is a maximum:
+//!   commutative, associative, idempotent.
+//! - **Time in transit.** A report carries the time that remains when it is sent. The receiver counts it from
+//!   arrival: too long by the time in transit, which is the safe side, and never prolonged by forwarding in
+//!   circles, since a report with a known version is ignored.
+//! - **Own evidence outranks reports.** A call that began after a wait was reported and that was served ends
+//!   the wait at this member.
+//! - **Bounded harm.** The reports of one origin alone delay calls to a destination here for at most
+//!   [`MAX_CREDIT`] at a time, and afterwards for a quarter of the time ([`CREDIT_REFILL_DIVISOR`]). A faulty
+//!   origin, or one with outdated reports, costs no more than that, until another origin, or the destination
+//!   itself, reports the same.
 //!
 //! ```
 //! use yarrowhill_knowledge::*;
-//! let mut one = WaitTable::new(1, 1, 7);
-//! let mut other = WaitTable::new(2, 1, 8);
-//! one.record_wait(1_000_000, 10, 5_000_000);
-//! for word in one.updates_to_send(2_000_000, 8, 2) {
-//!     other.receive(900, &word);
+//! let mut sender = WaitTable::new(1, 1, 7);
+//! let mut receiver = WaitTable::new(2, 1, 8);
+//! sender.record_wait(1_000_000, 10, 5_000_000);
+//! for report in sender.updates_to_send(2_000_000, 8, 2) {
+//!     receiver.receive(900, &report);
 //! }
-//! // Four seconds were left when it was told on, whatever the other's clock says.
-//! assert_eq!(other.wait(900, 10), Some(4_000_000));
-//! assert_eq!(other.wait(4_000_901, 10), None);
+//! // Four seconds remained when the report was sent, whatever the receiver's clock reads.
+//! assert_eq!(receiver.wait(900, 10), Some(4_000_000));
+//! assert_eq!(receiver.wait(4_000_901, 10), None);
 //! ```
 
 mod credit;
@@ -40,5 +44,5 @@
 pub use outages::{Admission, DestState, Outage, OutageDetector, SlowStart};
 pub use waits::{KnownWait, MAX_WAIT, WaitReport, WaitTable};
 
-/// Microseconds, on the clock of the process that counts them.
+/// Microseconds, on the clock of the process that measures them.
 pub type Micros = u64;
--- a/crates/knowledge/src/outages.rs
+++ b/crates/knowledge/src/outages.rs
@@ -1,452 +1,509 @@
-//! Which destinations a fleet holds to be down, who calls them meanwhile, and how all come back together.
+//! Detection of outages of destinations by a fleet, choice of the member that probes meanwhile, and common
+//! recovery.
 //!
-//! - **Down** is what two origins found of their own, and this member's own calls do not gainsay.
-//! - **One tries first.** Of those whose findings are fresh the one with the lowest hash calls once a turn; the others hold
-//!   their calls and go by its word. Where nobody's word is fresh, or one has held for long, it tries of its own by chance: one
-//!   in as many as there are, and twice as likely turn by turn, so that a few try at a time and nobody waits for ever.
-//! - **Back** since a moment that all count from: what all may send grows from there along one ramp.
+//! - **Down** requires findings by two origins from their own calls that this member's own calls do not
+//!   contradict.
+//! - **One member probes.** Of the origins with recent findings, the one with the lowest hash calls once per
+//!   probe interval; the others defer their calls and rely on its report. Where no finding is recent, or a
+//!   member has deferred for long, it probes on its own at random: with probability one in the number of
+//!   members, doubling over time, so that few members probe at once and none waits for ever.
+//! - **Recovering** counts from a time that all members share: what all may send grows from there along one
+//!   ramp.
 //!
-//! Findings are evidence with an age, not commands: own calls outrank them, and whoever says that one is back that is not is
-//! not believed alone the next time.
+//! Findings are evidence with an age, not commands: a member's own calls outrank them, and an origin that
+//! wrongly reported a recovery is not believed alone the next time.
 
 use crate::Micros;
-use crate::findings::{CallOutcome, Finding, OutageReport, Own};
+use crate::findings::{CallHistory, CallOutcome, Finding, OutageReport};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Origins that must have found it of their own.
-const ORIGINS_LEAST: usize = 2;
-/// Destinations about which anything is kept; further ones are not heard of.
-const DESTS_MOST: usize = 10_000;
-/// Origins whose findings about one destination are kept: those with the lowest hashes, so that all keep the same ones, and agree
-/// on who tries.
-const ORIGINS_MOST: usize = 16;
-/// A finding counts towards an outage for so many turns,
-const FOUND_TURNS: u64 = 10;
-/// and its origin is the one that tries for so many.
-const FRESH_TURNS: u64 = 3;
-/// One that holds its calls for the word of others tries itself with a chance that doubles after each so many turns.
-const PATIENCE_TURNS: u64 = 4;
-/// A word that one is back which is not costs its origin belief for so many turns, twice as many each time.
-const DISTRUST_TURNS: u64 = 32;
-/// Findings older than this are not believed (microseconds).
-const AGE_MOST: Micros = 600_000_000;
-/// To how many members a fresh word goes: in so many rounds, times the logarithm (base 2) of the fleet's size.
-const ROUNDS: f64 = 1.5;
-
-/// What an installation's settings say of a return.
+/// Minimum number of origins whose own calls must have found an outage.
+const MIN_ORIGINS: usize = 2;
+/// Maximum number of destinations with state; reports about further ones are rejected.
+const MAX_DESTS: usize = 10_000;
+/// Maximum number of origins whose findings about one destination are kept: those with the lowest hashes, so
+/// that all members keep the same ones and agree on the prober.
+const MAX_ORIGINS: usize = 16;
+/// Number of probe intervals for which a finding counts towards an outage.
+const FINDING_INTERVALS: u64 = 10;
+/// Number of probe intervals for which the origin of a finding may be the prober.
+const PROBER_INTERVALS: u64 = 3;
+/// Number of probe intervals after which a member that defers calls in favour of another prober begins to
+/// probe at random, and after each of which the probability doubles.
+const FALLBACK_INTERVALS: u64 = 4;
+/// Number of probe intervals for which an origin that wrongly reported a recovery is not believed alone;
+/// doubles each time.
+const DISTRUST_INTERVALS: u64 = 32;
+/// Maximum age of a finding (microseconds); older ones are rejected.
+const MAX_FINDING_AGE: Micros = 600_000_000;
+/// Number of rounds in which a report is sent, per doubling of the fleet's size (times its base-2 logarithm).
+const ROUNDS_PER_LOG2: f64 = 1.5;
+
+/// Settings of probing and of the slow start after an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// How long a call and its word take: one tries so often (microseconds).
+    /// Interval between probes: the time that a call and the report of its outcome take (microseconds).
     pub probe_interval: Micros,
-    /// It is warm after so long (microseconds).
+    /// Time from recovery to full capacity (microseconds).
     pub warm_up: Micros,
-    /// What part of its capacity it has at first.
+    /// Fraction of its capacity that a destination has at recovery.
     pub initial_fraction: f64,
 }
 
 impl SlowStart {
-    /// Which part of its capacity one has that has been back for so long.
-    pub fn fraction(&self, back: Micros) -> f64 {
-        let part = back as f64 / self.warm_up.max(1) as f64;
-        (self.initial_fraction + (1.0 - self.initial_fraction) * part).clamp(0.0, 1.0)
+    /// Returns the fraction of its capacity that a destination has `elapsed` after its recovery.
+    pub fn fraction(&self, elapsed: Micros) -> f64 {
+        let progress = elapsed as f64 / self.warm_up.max(1) as f64;
+        (self.initial_fraction + (1.0 - self.initial_fraction) * progress).clamp(0.0, 1.0)
     }
 }
 
-/// How a destination stands here.
+/// State of a destination as this member sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DestState {
-    /// Nothing is held against it.
+    /// No outage is known.
     #[default]
     Up,
-    /// Down since then.
+    /// Down since this time.
     Down(Micros),
-    /// Back since then, and not warm yet.
+    /// Recovered at this time, and still warming up.
     #[serde(rename = "back")]
     Recovering(Micros),
 }
 
-/// What becomes of a call that wants to begin.
+/// Decision on a call that is about to begin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It may, and all together may send this part of what they may otherwise.
+    /// The call may begin; all members together may send this fraction of their usual limit.
     Fraction(f64),
-    /// It may, as the one that tries: nothing else is counted.
+    /// The call may begin as a probe; no fraction applies to it.
     Probe,
-    /// It is to ask again after so long (microseconds).
+    /// The call must wait and ask again after this time (microseconds).
     Defer(Micros),
 }
 
+/// Latest report of one origin, with times on this member's clock.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    order: (u64, u64),
-    /// On this member's clock: the moment that the finding speaks of, and when it was heard.
-    finding: Found,
-    heard: Micros,
-    /// Rounds in which it was passed on.
-    told: u32,
-    /// It said that one was back which was not: so often, and it is not believed alone until then.
-    wrong: u32,
-    distrust: Micros,
+struct Entry {
+    version: (u64, u64),
+    /// Finding, with the time that it refers to.
+    finding: TimedFinding,
+    received_at: Micros,
+    /// Number of rounds in which the report was sent.
+    rounds_sent: u32,
+    /// Number of recoveries that the origin wrongly reported.
+    wrong_recoveries: u32,
+    /// Time until which the origin is not believed alone.
+    distrusted_until: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Found {
-    Nothing,
+enum TimedFinding {
+    None,
     Down(Micros),
-    Back(Micros),
+    Recovered(Micros),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Dest {
-    own: Own,
-    words: BTreeMap<u64, Word>,
-    stand: DestState,
-    /// Whose word brought it back.
-    by: Option<u64>,
-    /// Its own trials: the last one, and since when calls are held for the word of others.
-    tried: Option<Micros>,
-    holding: Option<Micros>,
+struct DestRecord {
+    own_calls: CallHistory,
+    /// Latest reports by origin, this member included.
+    entries: BTreeMap<u64, Entry>,
+    state: DestState,
+    /// Origin whose report led to the recovery.
+    recovered_by: Option<u64>,
+    /// Time of this member's last probe.
+    last_probe: Option<Micros>,
+    /// Time since which calls are deferred in favour of other probers.
+    deferring_since: Option<Micros>,
 }
 
-/// What is known of one destination, for those who ask.
+/// State of one destination during an outage or recovery, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outage {
-    /// Which.
+    /// The destination.
     pub dest: u64,
-    /// How it stands here.
+    /// Its state as this member sees it.
     #[serde(rename = "stand")]
     pub state: DestState,
-    /// For how long it has stood so (microseconds).
+    /// Time since it entered this state (microseconds).
     pub since: Micros,
-    /// What part of its capacity all together may use now.
+    /// Fraction of its capacity that all members together may use now.
     #[serde(rename = "part")]
     pub capacity_fraction: f64,
-    /// Who found it down, and how long ago the last of its calls began (microseconds).
+    /// Origins that found it down, and the time since the last of their failed calls began (microseconds).
     #[serde(rename = "found")]
     pub reporters: Vec<(u64, Micros)>,
-    /// Who tries; none where nobody's word is fresh.
+    /// Member that probes it; none if no finding is recent.
     #[serde(rename = "tries")]
     pub prober: Option<u64>,
 }
 
-/// What one member knows of outages.
+/// Outages and recoveries that one member knows of.
 #[derive(Clone, Debug)]
 pub struct OutageDetector {
-    me: u64,
+    local_id: u64,
     boot: u64,
-    count: u64,
-    ramp: SlowStart,
+    sequence: u64,
+    slow_start: SlowStart,
     members: usize,
-    dests: BTreeMap<u64, Dest>,
-    news_until: Micros,
-    refused: u64,
+    dests: BTreeMap<u64, DestRecord>,
+    updates_until: Micros,
+    rejected: u64,
 }
 
 impl OutageDetector {
-    /// A member that starts, with the boot number that it speaks under.
-    pub fn new(me: u64, boot: u64, ramp: SlowStart) -> Self {
+    /// Returns the state of a member that starts, with the boot number for its own reports.
+    pub fn new(local_id: u64, boot: u64, slow_start: SlowStart) -> Self {
         OutageDetector {
-            me,
+            local_id,
             boot,
-            count: 0,
-            ramp,
+            sequence: 0,
+            slow_start,
             members: 1,
             dests: BTreeMap::new(),
-            news_until: 0,
-            refused: 0,
+            updates_until: 0,
+            rejected: 0,
         }
     }
 
-    /// It speaks under another boot number from now on, and so many are there.
+    /// Raises the boot number for this member's own reports, and sets the number of live members.
     pub fn set_membership(&mut self, boot: u64, members: usize) {
         self.boot = self.boot.max(boot);
         self.members = members.max(1);
     }
 
-    /// What settings say of a return, once they are known.
-    pub fn set_slow_start(&mut self, ramp: SlowStart) {
-        self.ramp = ramp;
+    /// Sets the slow start, once settings are known.
+    pub fn set_slow_start(&mut self, slow_start: SlowStart) {
+        self.slow_start = slow_start;
     }
 
-    /// A call of this member has ended; `began` is when its first byte left, or when a connection was tried.
-    pub fn record_call_end(&mut self, now: Micros, dest: u64, began: Micros, how: CallOutcome) {
-        let known = self.dests.contains_key(&dest);
-        // What is served where nothing is known is the usual case, and leaves a moment behind.
-        if !known && self.dests.len() >= DESTS_MOST {
+    /// Records the end of one of this member's calls. `began` is when its first byte was sent, or when a
+    /// connection was attempted.
+    pub fn record_call_end(&mut self, now: Micros, dest: u64, began: Micros, outcome: CallOutcome) {
+        let is_known = self.dests.contains_key(&dest);
+        // Usually the call is served and no outage is known; even then the time of the call is kept.
+        if !is_known && self.dests.len() >= MAX_DESTS {
             return;
         }
-        let (ramp, me) = (self.ramp, self.me);
-        let kept = self.dests.entry(dest).or_default();
-        kept.own.ended(began, how);
-        let finding = match (how, kept.stand) {
-            (CallOutcome::Failed, _) => kept.own.down(ramp.probe_interval / 2).map(Found::Down),
-            // Its own trial, or a call that was out when the others found it down.
+        let (slow_start, local_id) = (self.slow_start, self.local_id);
+        let record = self.dests.entry(dest).or_default();
+        record.own_calls.record(began, outcome);
+        let finding = match (outcome, record.state) {
+            (CallOutcome::Failed, _) => {
+                record.own_calls.outage(slow_start.probe_interval / 2).map(TimedFinding::Down)
+            }
+            // Either this member's probe, or a call that was in flight when others reported the outage.
             (CallOutcome::Served, DestState::Down(_)) => {
-                (kept.stand, kept.by) = (DestState::Recovering(now), Some(me));
-                Some(Found::Back(now))
+                (record.state, record.recovered_by) = (DestState::Recovering(now), Some(local_id));
+                Some(TimedFinding::Recovered(now))
             }
             _ => None,
         };
         if let Some(finding) = finding {
-            self.count += 1;
-            let order = (self.boot, self.count);
-            let word = Word { order, finding, heard: now, told: 0, wrong: 0, distrust: 0 };
-            kept.words.insert(me, word);
-            self.news_until = self.news_until.max(now + ramp.probe_interval * FOUND_TURNS);
+            self.sequence += 1;
+            let entry = Entry {
+                version: (self.boot, self.sequence),
+                finding,
+                received_at: now,
+                rounds_sent: 0,
+                wrong_recoveries: 0,
+                distrusted_until: 0,
+            };
+            record.entries.insert(local_id, entry);
+            self.updates_until = self.updates_until.max(now + slow_start.probe_interval * FINDING_INTERVALS);
         }
-        self.judge(now, dest);
+        self.evaluate(now, dest);
     }
 
-    /// A destination shut its door until then: it comes back cold, and one tries first.
+    /// Records that a destination is closed until `until`: it then needs a slow start, and one member probes
+    /// first.
     pub fn record_shutdown(&mut self, now: Micros, dest: u64, until: Micros) {
-        if self.dests.len() >= DESTS_MOST && !self.dests.contains_key(&dest) {
+        if self.dests.len() >= MAX_DESTS && !self.dests.contains_key(&dest) {
             return;
         }
-        let kept = self.dests.entry(dest).or_default();
-        // Who was served by it since goes by that.
-        if !matches!(kept.stand, DestState::Down(_)) && kept.own.served().is_none_or(|served| served < now) {
-            (kept.stand, kept.by) = (DestState::Down(now), None);
-            // Nobody's word is fresh when the door opens: patience counts from there.
-            kept.holding = Some(until);
+        let record = self.dests.entry(dest).or_default();
+        // A later call that was served outranks the closure.
+        if !matches!(record.state, DestState::Down(_))
+            && record.own_calls.last_served().is_none_or(|served| served < now)
+        {
+            (record.state, record.recovered_by) = (DestState::Down(now), None);
+            // No finding is recent when the destination opens again, so random probing starts then.
+            record.deferring_since = Some(until);
         }
     }
 
-    /// A word of another member has come.
-    pub fn receive(&mut self, now: Micros, word: &OutageReport) {
-        let OutageReport { dest, origin, version: order, finding } = *word;
-        let full = !self.dests.contains_key(&dest) && self.dests.len() >= DESTS_MOST;
-        if origin == self.me || finding.age() > AGE_MOST || full {
-            self.refused += 1;
+    /// Merges a report from another member.
+    pub fn receive(&mut self, now: Micros, report: &OutageReport) {
+        let OutageReport { dest, origin, version, finding } = *report;
+        let is_full = !self.dests.contains_key(&dest) && self.dests.len() >= MAX_DESTS;
+        if origin == self.local_id || finding.age() > MAX_FINDING_AGE || is_full {
+            self.rejected += 1;
             return;
         }
-        let me = self.me;
-        let kept = self.dests.entry(dest).or_default();
-        if kept.words.len() >= ORIGINS_MOST && !kept.words.contains_key(&origin) {
+        let local_id = self.local_id;
+        let record = self.dests.entry(dest).or_default();
+        if record.entries.len() >= MAX_ORIGINS && !record.entries.contains_key(&origin) {
             let rank = |id: u64| hash([dest, id, 0]);
-            let last = kept.words.keys().copied().filter(|id| *id != me).max_by_key(|id| rank(*id));
+            let last = record.entries.keys().copied().filter(|id| *id != local_id).max_by_key(|id| rank(*id));
             let Some(last) = last.filter(|last| rank(*last) > rank(origin)) else { return };
-            kept.words.remove(&last);
+            record.entries.remove(&last);
         }
-        let fresh =
-            Word { order: (0, 0), finding: Found::Nothing, heard: now, told: 0, wrong: 0, distrust: 0 };
-        let entry = kept.words.entry(origin).or_insert(fresh);
-        if order <= entry.order {
+        let new_entry = Entry {
+            version: (0, 0),
+            finding: TimedFinding::None,
+            received_at: now,
+            rounds_sent: 0,
+            wrong_recoveries: 0,
+            distrusted_until: 0,
+        };
+        let entry = record.entries.entry(origin).or_insert(new_entry);
+        if version <= entry.version {
             return;
         }
         let at = now.saturating_sub(finding.age());
         let finding = match finding {
-            Finding::Down(_) => Found::Down(at),
-            Finding::Recovered(_) => Found::Back(at),
+            Finding::Down(_) => TimedFinding::Down(at),
+            Finding::Recovered(_) => TimedFinding::Recovered(at),
         };
-        (entry.order, entry.finding, entry.heard, entry.told) = (order, finding, now, 0);
-        self.news_until = self.news_until.max(now + self.ramp.probe_interval * FOUND_TURNS);
-        self.judge(now, dest);
+        (entry.version, entry.finding, entry.received_at, entry.rounds_sent) = (version, finding, now, 0);
+        self.updates_until = self.updates_until.max(now + self.slow_start.probe_interval * FINDING_INTERVALS);
+        self.evaluate(now, dest);
     }
 
-    /// What follows from all findings.
-    fn judge(&mut self, now: Micros, dest: u64) {
-        let (ramp, me) = (self.ramp, self.me);
-        let Some(kept) = self.dests.get_mut(&dest) else { return };
-        let served = kept.own.served().unwrap_or(0);
-        match kept.stand {
+    /// Updates the state of a destination from all findings.
+    fn evaluate(&mut self, now: Micros, dest: u64) {
+        let (slow_start, local_id) = (self.slow_start, self.local_id);
+        let Some(record) = self.dests.get_mut(&dest) else { return };
+        let served = record.own_calls.last_served().unwrap_or(0);
+        match record.state {
             DestState::Down(since) => {
-                // One that found it back after it was down, and who has not been wrong lately; else two of them.
-                let back = |(origin, w): (&u64, &Word)| match w.finding {
-                    Found::Back(at) if at >= since => Some((*origin, at, w.distrust <= now)),
+                // A recovery needs a report later than the outage by an origin that is not distrusted, or by
+                // two origins.
+                let recovery = |(origin, entry): (&u64, &Entry)| match entry.finding {
+                    TimedFinding::Recovered(at) if at >= since => {
+                        Some((*origin, at, entry.distrusted_until <= now))
+                    }
                     _ => None,
                 };
-                let told: Vec<(u64, Micros, bool)> = kept.words.iter().filter_map(back).collect();
-                let trusted = told.iter().find(|(_, _, trusted)| *trusted);
-                if let Some((by, at, _)) = trusted.or(told.first().filter(|_| told.len() >= ORIGINS_LEAST)) {
-                    (kept.stand, kept.by) = (DestState::Recovering(*at), Some(*by));
-                    kept.holding = None;
+                let reported: Vec<(u64, Micros, bool)> = record.entries.iter().filter_map(recovery).collect();
+                let trusted = reported.iter().find(|(_, _, trusted)| *trusted);
+                if let Some((by, at, _)) =
+                    trusted.or(reported.first().filter(|_| reported.len() >= MIN_ORIGINS))
+                {
+                    (record.state, record.recovered_by) = (DestState::Recovering(*at), Some(*by));
+                    record.deferring_since = None;
                 }
             }
             DestState::Up | DestState::Recovering(_) => {
-                let since = if let DestState::Recovering(at) = kept.stand { at } else { 0 };
-                if matches!(kept.stand, DestState::Recovering(_)) && now >= since + ramp.warm_up {
-                    (kept.stand, kept.by) = (DestState::Up, None);
+                let since = if let DestState::Recovering(at) = record.state { at } else { 0 };
+                if matches!(record.state, DestState::Recovering(_)) && now >= since + slow_start.warm_up {
+                    (record.state, record.recovered_by) = (DestState::Up, None);
                 }
                 let after = since.max(served);
-                let counts = |w: &Word| {
-                    matches!(w.finding, Found::Down(at) if at > after)
-                        && now <= w.heard.saturating_add(ramp.probe_interval * FOUND_TURNS)
+                let counts = |entry: &Entry| {
+                    matches!(entry.finding, TimedFinding::Down(at) if at > after)
+                        && now
+                            <= entry.received_at.saturating_add(slow_start.probe_interval * FINDING_INTERVALS)
                 };
-                if kept.words.values().filter(|w| counts(w)).count() >= ORIGINS_LEAST {
-                    // Whoever said that it was back was wrong, and costs more the next time.
-                    let wrong = kept.by.filter(|by| *by != me && now < since + ramp.warm_up);
-                    if let Some(word) = wrong.and_then(|by| kept.words.get_mut(&by)) {
-                        word.wrong = (word.wrong + 1).min(8);
-                        word.distrust = now + ramp.probe_interval * DISTRUST_TURNS * (1 << (word.wrong - 1));
+                if record.entries.values().filter(|entry| counts(entry)).count() >= MIN_ORIGINS {
+                    // The origin that reported the recovery was wrong, and is distrusted for longer each
+                    // time.
+                    let wrong =
+                        record.recovered_by.filter(|by| *by != local_id && now < since + slow_start.warm_up);
+                    if let Some(entry) = wrong.and_then(|by| record.entries.get_mut(&by)) {
+                        entry.wrong_recoveries = (entry.wrong_recoveries + 1).min(8);
+                        entry.distrusted_until = now
+                            + slow_start.probe_interval
+                                * DISTRUST_INTERVALS
+                                * (1 << (entry.wrong_recoveries - 1));
                     }
-                    (kept.stand, kept.by) = (DestState::Down(now), None);
-                    (kept.tried, kept.holding) = (None, Some(now));
+                    (record.state, record.recovered_by) = (DestState::Down(now), None);
+                    (record.last_probe, record.deferring_since) = (None, Some(now));
                 }
             }
         }
     }
 
-    /// Who tries a destination that is down: of those whose findings are fresh the one with the lowest hash.
-    fn trier(&self, now: Micros, dest: u64, kept: &Dest) -> Option<u64> {
-        let fresh = |w: &Word| {
-            matches!(w.finding, Found::Down(_)) && now <= w.heard + self.ramp.probe_interval * FRESH_TURNS
+    /// Returns the prober of a destination that is down: of the origins with recent findings the one with the
+    /// lowest hash.
+    fn prober(&self, now: Micros, dest: u64, record: &DestRecord) -> Option<u64> {
+        let is_recent = |entry: &Entry| {
+            matches!(entry.finding, TimedFinding::Down(_))
+                && now <= entry.received_at + self.slow_start.probe_interval * PROBER_INTERVALS
         };
-        let fresh = kept.words.iter().filter(|(_, w)| fresh(w)).map(|(origin, _)| *origin);
-        fresh.min_by_key(|origin| hash([dest, *origin, 0]))
+        let recent = record.entries.iter().filter(|(_, entry)| is_recent(entry)).map(|(origin, _)| *origin);
+        recent.min_by_key(|origin| hash([dest, *origin, 0]))
     }
 
-    /// Whether a call to a destination may begin now. To be asked at the last step before its first byte.
+    /// Decides whether a call to a destination may begin now. Ask at the last step before its first byte.
     pub fn admit(&mut self, now: Micros, dest: u64) -> Admission {
-        let (ramp, me) = (self.ramp, self.me);
-        let stand = self.dests.get(&dest).map_or(DestState::Up, |kept| kept.stand);
-        match stand {
+        let (slow_start, local_id) = (self.slow_start, self.local_id);
+        let state = self.dests.get(&dest).map_or(DestState::Up, |record| record.state);
+        match state {
             DestState::Up => return Admission::Fraction(1.0),
-            DestState::Recovering(at) if now >= at + ramp.warm_up => {
-                self.judge(now, dest);
+            DestState::Recovering(at) if now >= at + slow_start.warm_up => {
+                self.evaluate(now, dest);
                 return Admission::Fraction(1.0);
             }
-            DestState::Recovering(at) => return Admission::Fraction(ramp.fraction(now.saturating_sub(at))),
+            DestState::Recovering(at) => {
+                return Admission::Fraction(slow_start.fraction(now.saturating_sub(at)));
+            }
             DestState::Down(_) => {}
         }
-        let Some(kept) = self.dests.get(&dest) else { return Admission::Fraction(1.0) };
-        let trier = self.trier(now, dest, kept);
-        let next = kept.tried.map_or(0, |at| at + ramp.probe_interval);
-        let mine = match trier {
-            Some(who) if who == me => true,
+        let Some(record) = self.dests.get(&dest) else { return Admission::Fraction(1.0) };
+        let prober = self.prober(now, dest, record);
+        let next_probe = record.last_probe.map_or(0, |at| at + slow_start.probe_interval);
+        let may_probe = match prober {
+            Some(id) if id == local_id => true,
             _ => {
-                // Its chance of this turn: of its own clock, so that not all draw at once.
-                let since = kept.holding.unwrap_or(now);
-                let turns = now.saturating_sub(since) / ramp.probe_interval.max(1);
-                // With nobody's word the chance doubles each turn; with one, after some turns.
-                let steps = if trier.is_none() { turns } else { turns / PATIENCE_TURNS };
-                let chance = 2f64.powi(steps.min(32) as i32) / self.members as f64;
-                let patient = trier.is_some() && steps == 0;
-                let drawn = hash([dest, me, now / ramp.probe_interval.max(1)]) as f64 / u64::MAX as f64;
-                now >= since && !patient && drawn < chance
+                // Draws once per interval of the local clock, so that members do not all draw at the same
+                // time.
+                let since = record.deferring_since.unwrap_or(now);
+                let intervals = now.saturating_sub(since) / slow_start.probe_interval.max(1);
+                // Without a prober the probability doubles each interval; with one, every few intervals.
+                let doublings = if prober.is_none() { intervals } else { intervals / FALLBACK_INTERVALS };
+                let probability = 2f64.powi(doublings.min(32) as i32) / self.members as f64;
+                let relies_on_prober = prober.is_some() && doublings == 0;
+                let interval = now / slow_start.probe_interval.max(1);
+                let drawn = hash([dest, local_id, interval]) as f64 / u64::MAX as f64;
+                now >= since && !relies_on_prober && drawn < probability
             }
         };
-        let Some(kept) = self.dests.get_mut(&dest) else { return Admission::Fraction(1.0) };
-        if mine && now >= next {
-            kept.tried = Some(now);
-            kept.holding = Some(now);
+        let Some(record) = self.dests.get_mut(&dest) else { return Admission::Fraction(1.0) };
+        if may_probe && now >= next_probe {
+            record.last_probe = Some(now);
+            record.deferring_since = Some(now);
             return Admission::Probe;
         }
-        kept.holding.get_or_insert(now);
-        Admission::Defer((ramp.probe_interval / 2).max(1))
+        record.deferring_since.get_or_insert(now);
+        Admission::Defer((slow_start.probe_interval / 2).max(1))
     }
 
-    /// A call that was let through as a trial has not begun after all.
+    /// Cancels a probe: the call that was admitted as one has not begun after all.
     pub fn cancel_probe(&mut self, dest: u64) {
-        self.dests.get_mut(&dest).into_iter().for_each(|kept| kept.tried = None);
+        self.dests.get_mut(&dest).into_iter().for_each(|record| record.last_probe = None);
     }
 
-    /// Words to pass on in a round, those that were passed on the least first, and at most so many.
-    pub fn updates_to_send(&mut self, now: Micros, most: usize, members: usize) -> Vec<OutageReport> {
-        self.forget(now);
-        let rounds = (ROUNDS * (members as f64 + 1.0).log2()).ceil() as u32;
-        let mut fresh: Vec<(u32, u64, u64)> = Vec::new();
-        for (dest, kept) in &self.dests {
-            let still = |w: &Word| w.told < rounds && w.finding != Found::Nothing && w.order != (0, 0);
-            let words = kept.words.iter().filter(|(_, w)| still(w));
-            fresh.extend(words.map(|(origin, w)| (w.told, *dest, *origin)));
+    /// Returns at most `max` reports to send in a round, those sent in the fewest rounds first; `members` is
+    /// the number of live members.
+    pub fn updates_to_send(&mut self, now: Micros, max: usize, members: usize) -> Vec<OutageReport> {
+        self.expire(now);
+        let rounds = (ROUNDS_PER_LOG2 * (members as f64 + 1.0).log2()).ceil() as u32;
+        let mut pending: Vec<(u32, u64, u64)> = Vec::new();
+        for (dest, record) in &self.dests {
+            let is_pending = |entry: &Entry| {
+                entry.rounds_sent < rounds && entry.finding != TimedFinding::None && entry.version != (0, 0)
+            };
+            let entries = record.entries.iter().filter(|(_, entry)| is_pending(entry));
+            pending.extend(entries.map(|(origin, entry)| (entry.rounds_sent, *dest, *origin)));
         }
-        if fresh.is_empty() {
-            self.news_until = 0;
+        if pending.is_empty() {
+            self.updates_until = 0;
         }
-        fresh.sort_unstable();
-        fresh.truncate(most);
-        let mut words = Vec::new();
-        for (_, dest, origin) in fresh {
-            if let Some(word) = self.dests.get_mut(&dest).and_then(|kept| kept.words.get_mut(&origin)) {
-                word.told += 1;
-                words.extend(judgement(now, dest, origin, word));
+        pending.sort_unstable();
+        pending.truncate(max);
+        let mut reports = Vec::new();
+        for (_, dest, origin) in pending {
+            if let Some(entry) = self.dests.get_mut(&dest).and_then(|record| record.entries.get_mut(&origin))
+            {
+                entry.rounds_sent += 1;
+                reports.extend(report(now, dest, origin, entry));
             }
         }
-        words
+        reports
     }
 
-    /// Whether there may be anything to pass on; [`OutageDetector::words`] tells.
+    /// Returns whether there may be reports to send; [`OutageDetector::updates_to_send`] returns them.
     pub fn has_updates(&self, now: Micros) -> bool {
-        now < self.news_until
+        now < self.updates_until
     }
 
-    /// Every finding of a destination that is not simply up, for one that has just come: at most so many.
-    pub fn snapshot(&self, now: Micros, most: usize) -> Vec<OutageReport> {
-        let troubled = self.dests.iter().filter(|(_, kept)| kept.stand != DestState::Up);
-        let words = troubled.flat_map(|(dest, kept)| {
-            kept.words.iter().filter_map(move |(origin, word)| judgement(now, *dest, *origin, word))
+    /// Returns at most `max` findings about destinations that are not simply up, for a member that has just
+    /// started.
+    pub fn snapshot(&self, now: Micros, max: usize) -> Vec<OutageReport> {
+        let affected = self.dests.iter().filter(|(_, record)| record.state != DestState::Up);
+        let reports = affected.flat_map(|(dest, record)| {
+            record.entries.iter().filter_map(move |(origin, entry)| report(now, *dest, *origin, entry))
         });
-        words.take(most).collect()
+        reports.take(max).collect()
     }
 
-    /// How destinations stand that are not simply up.
+    /// Returns the state of each destination that is not simply up.
     pub fn status(&self, now: Micros) -> Vec<Outage> {
-        let one = |(dest, kept): (&u64, &Dest)| {
-            let found = |(origin, w): (&u64, &Word)| match w.finding {
-                Found::Down(at) => Some((*origin, now.saturating_sub(at))),
+        let status_of = |(dest, record): (&u64, &DestRecord)| {
+            let down = |(origin, entry): (&u64, &Entry)| match entry.finding {
+                TimedFinding::Down(at) => Some((*origin, now.saturating_sub(at))),
                 _ => None,
             };
-            let (since, part) = match kept.stand {
+            let (since, capacity_fraction) = match record.state {
                 DestState::Up => return None,
                 DestState::Down(at) => (at, 0.0),
-                DestState::Recovering(at) => (at, self.ramp.fraction(now.saturating_sub(at))),
+                DestState::Recovering(at) => (at, self.slow_start.fraction(now.saturating_sub(at))),
             };
             Some(Outage {
                 dest: *dest,
-                state: kept.stand,
+                state: record.state,
                 since: now.saturating_sub(since),
-                capacity_fraction: part,
-                reporters: kept.words.iter().filter_map(found).collect(),
-                prober: self.trier(now, *dest, kept).filter(|_| part == 0.0),
+                capacity_fraction,
+                reporters: record.entries.iter().filter_map(down).collect(),
+                prober: self.prober(now, *dest, record).filter(|_| capacity_fraction == 0.0),
             })
         };
-        self.dests.iter().filter_map(one).collect()
+        self.dests.iter().filter_map(status_of).collect()
     }
 
-    /// Words that were not believed.
+    /// Returns the number of rejected reports.
     pub fn rejected(&self) -> u64 {
-        self.refused
+        self.rejected
     }
 
-    /// What says nothing any more. An outage that nobody speaks of ends by the trials of those who have calls for it.
-    fn forget(&mut self, now: Micros) {
-        let ramp = self.ramp;
-        for kept in self.dests.values_mut() {
-            if let DestState::Recovering(at) = kept.stand
-                && now >= at + ramp.warm_up
+    /// Drops expired state. An outage that no member reports any more ends by the probes of members with
+    /// calls for the destination.
+    fn expire(&mut self, now: Micros) {
+        let slow_start = self.slow_start;
+        for record in self.dests.values_mut() {
+            if let DestState::Recovering(at) = record.state
+                && now >= at + slow_start.warm_up
             {
-                (kept.stand, kept.by) = (DestState::Up, None);
+                (record.state, record.recovered_by) = (DestState::Up, None);
             }
-            let old = |w: &Word| {
-                now > w.heard.saturating_add(ramp.probe_interval * FOUND_TURNS) && now > w.distrust
+            let is_expired = |entry: &Entry| {
+                now > entry.received_at.saturating_add(slow_start.probe_interval * FINDING_INTERVALS)
+                    && now > entry.distrusted_until
             };
-            if kept.stand == DestState::Up {
-                kept.words.retain(|_, w| !old(w));
+            if record.state == DestState::Up {
+                record.entries.retain(|_, entry| !is_expired(entry));
             }
         }
-        // Of one that is up, and about which nothing was heard, its last call outranks findings for as long as those are believed.
-        self.dests.retain(|_, kept| {
-            let served = kept.own.served().is_some_and(|at| now < at.saturating_add(AGE_MOST));
-            kept.stand != DestState::Up || !kept.words.is_empty() || kept.own.fails() || served
+        // The last served call to a destination that is up outranks findings, so it is kept for as long as a
+        // finding older than it can be accepted.
+        self.dests.retain(|_, record| {
+            let has_served =
+                record.own_calls.last_served().is_some_and(|at| now < at.saturating_add(MAX_FINDING_AGE));
+            record.state != DestState::Up
+                || !record.entries.is_empty()
+                || record.own_calls.has_failures()
+                || has_served
         });
     }
 }
 
-/// A word as it is told at a moment.
-fn judgement(now: Micros, dest: u64, origin: u64, word: &Word) -> Option<OutageReport> {
-    let finding = match word.finding {
-        Found::Nothing => return None,
-        Found::Down(at) => Finding::Down(0).aged(now.saturating_sub(at)),
-        Found::Back(at) => Finding::Recovered(0).aged(now.saturating_sub(at)),
+/// Returns the report of an entry as sent at `now`.
+fn report(now: Micros, dest: u64, origin: u64, entry: &Entry) -> Option<OutageReport> {
+    let finding = match entry.finding {
+        TimedFinding::None => return None,
+        TimedFinding::Down(at) => Finding::Down(0).aged(now.saturating_sub(at)),
+        TimedFinding::Recovered(at) => Finding::Recovered(0).aged(now.saturating_sub(at)),
     };
-    Some(OutageReport { dest, origin, version: word.order, finding })
+    Some(OutageReport { dest, origin, version: entry.version, finding })
 }
 
-fn hash(of: [u64; 3]) -> u64 {
-    xxh3_64(&of.map(u64::to_le_bytes).concat())
+fn hash(words: [u64; 3]) -> u64 {
+    xxh3_64(&words.map(u64::to_le_bytes).concat())
 }
 
 #[cfg(test)]
@@ -455,102 +512,108 @@
     use proptest::prelude::*;
 
     const S: Micros = 1_000_000;
-    const RAMP: SlowStart = SlowStart { probe_interval: S, warm_up: 10 * S, initial_fraction: 0.2 };
+    const SLOW_START: SlowStart = SlowStart { probe_interval: S, warm_up: 10 * S, initial_fraction: 0.2 };
     const DEST: u64 = 7;
 
-    fn member(me: u64, members: usize) -> OutageDetector {
-        let mut one = OutageDetector::new(me, 1, RAMP);
-        one.set_membership(1, members);
-        one
+    fn member(id: u64, members: usize) -> OutageDetector {
+        let mut detector = OutageDetector::new(id, 1, SLOW_START);
+        detector.set_membership(1, members);
+        detector
     }
 
-    fn fail(one: &mut OutageDetector, from: Micros) {
-        (0..4)
-            .for_each(|n| one.record_call_end(from + n * S / 4, DEST, from + n * S / 4, CallOutcome::Failed));
+    fn fail(member: &mut OutageDetector, from: Micros) {
+        (0..4).for_each(|n| {
+            member.record_call_end(from + n * S / 4, DEST, from + n * S / 4, CallOutcome::Failed)
+        });
     }
 
-    fn tell(now: Micros, from: &mut OutageDetector, to: &mut [&mut OutageDetector]) {
-        for word in from.updates_to_send(now, 24, 5) {
-            to.iter_mut().for_each(|one| one.receive(now, &word));
+    fn send(now: Micros, from: &mut OutageDetector, to: &mut [&mut OutageDetector]) {
+        for report in from.updates_to_send(now, 24, 5) {
+            to.iter_mut().for_each(|member| member.receive(now, &report));
         }
     }
 
-    /// Two find it down; a third that never called holds its calls, one of the two tries, and its word brings all back on one
-    /// ramp.
+    /// Two members find an outage; a third that never called defers its calls, one of the two probes, and its
+    /// report starts the recovery of all along one ramp.
     #[test]
-    fn one_tries_first_and_all_come_back_together() {
+    fn one_member_probes_and_all_recover_together() {
         let (mut a, mut b, mut c) = (member(1, 3), member(2, 3), member(3, 3));
         fail(&mut a, 100 * S);
-        tell(101 * S, &mut a, &mut [&mut b, &mut c]);
-        assert_eq!(c.admit(101 * S, DEST), Admission::Fraction(1.0), "one alone says nothing");
+        send(101 * S, &mut a, &mut [&mut b, &mut c]);
+        assert_eq!(c.admit(101 * S, DEST), Admission::Fraction(1.0), "one origin alone is not enough");
         fail(&mut b, 100 * S);
-        tell(101 * S, &mut b, &mut [&mut a, &mut c]);
+        send(101 * S, &mut b, &mut [&mut a, &mut c]);
         let now = 101 * S + 1;
-        let leaves = [a.admit(now, DEST), b.admit(now, DEST), c.admit(now, DEST)];
-        assert_eq!(leaves.iter().filter(|l| **l == Admission::Probe).count(), 1, "{leaves:?}");
-        assert!(matches!(leaves[2], Admission::Defer(_)));
-        let first = if leaves[0] == Admission::Probe { &mut a } else { &mut b };
-        assert!(matches!(first.admit(now, DEST), Admission::Defer(_)), "once a turn");
+        let admissions = [a.admit(now, DEST), b.admit(now, DEST), c.admit(now, DEST)];
+        assert_eq!(
+            admissions.iter().filter(|admission| **admission == Admission::Probe).count(),
+            1,
+            "{admissions:?}"
+        );
+        assert!(matches!(admissions[2], Admission::Defer(_)));
+        let first = if admissions[0] == Admission::Probe { &mut a } else { &mut b };
+        assert!(matches!(first.admit(now, DEST), Admission::Defer(_)), "one probe per interval");
         first.record_call_end(102 * S, DEST, now, CallOutcome::Served);
-        let word = first.updates_to_send(102 * S, 24, 3);
+        let reports = first.updates_to_send(102 * S, 24, 3);
         assert_eq!(first.admit(102 * S, DEST), Admission::Fraction(0.2));
-        word.iter().for_each(|w| c.receive(103 * S, w));
-        // The way took a second: later than it was, never earlier.
+        reports.iter().for_each(|report| c.receive(103 * S, report));
+        // The report took a second: the receiver counts from a later recovery, never from an earlier one.
         assert_eq!(c.admit(103 * S, DEST), Admission::Fraction(0.2));
-        let Admission::Fraction(half) = c.admit(108 * S, DEST) else { panic!("back") };
+        let Admission::Fraction(half) = c.admit(108 * S, DEST) else { panic!("recovering") };
         assert!((0.59..0.61).contains(&half), "{half}");
         assert_eq!(c.admit(114 * S, DEST), Admission::Fraction(1.0));
     }
 
-    /// Where nobody's word is fresh whoever has calls tries by chance, few at a time and in bounded time.
+    /// Without recent findings members with calls probe at random, few at a time, and one does so in bounded
+    /// time.
     #[test]
-    fn where_nobody_speaks_a_few_try_and_soon_one() {
-        let mut first = Vec::new();
+    fn without_recent_findings_few_members_probe_within_bounded_time() {
+        let mut first_probes = Vec::new();
         for fleet in 0..20u64 {
             let mut all: Vec<OutageDetector> = (0..300).map(|n| member(fleet * 1000 + n, 300)).collect();
-            for one in &mut all {
+            for member in &mut all {
                 for origin in [900_001, 900_002] {
                     let finding = Finding::Down(0);
-                    one.receive(100 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
+                    member.receive(100 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
                 }
             }
-            let tried = |turn: u64, all: &mut [OutageDetector]| {
-                let at = (100 + turn) * S + S / 2;
+            let probe = |interval: u64, all: &mut [OutageDetector]| {
+                let at = (100 + interval) * S + S / 2;
                 all.iter_mut()
-                    .filter_map(|one| (one.admit(at, DEST) == Admission::Probe).then_some(()))
+                    .filter_map(|member| (member.admit(at, DEST) == Admission::Probe).then_some(()))
                     .count()
             };
-            let (mut turn, mut many) = (0, 0);
-            while many == 0 {
-                turn += 1;
-                many = tried(turn, &mut all);
+            let (mut interval, mut probes) = (0, 0);
+            while probes == 0 {
+                interval += 1;
+                probes = probe(interval, &mut all);
             }
-            first.push((turn, many));
+            first_probes.push((interval, probes));
         }
-        assert!(first.iter().all(|(turn, _)| *turn <= 9), "{first:?}");
-        let mean = first.iter().map(|(_, many)| *many).sum::<usize>() as f64 / 20.0;
-        assert!(mean < 24.0, "{mean} at once: {first:?}");
+        assert!(first_probes.iter().all(|(interval, _)| *interval <= 9), "{first_probes:?}");
+        let mean = first_probes.iter().map(|(_, probes)| *probes).sum::<usize>() as f64 / 20.0;
+        assert!(mean < 24.0, "{mean} at once: {first_probes:?}");
     }
 
     #[test]
-    fn what_says_nothing_any_more_is_not_kept() {
-        let mut one = member(1, 5);
-        one.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
-        one.updates_to_send(200 * S, 24, 5);
-        assert_eq!(one.dests.len(), 1, "its call may outrank what is heard later");
-        one.updates_to_send(900 * S, 24, 5);
-        assert_eq!(one.dests.len(), 0);
+    fn expired_state_is_dropped() {
+        let mut local = member(1, 5);
+        local.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
+        local.updates_to_send(200 * S, 24, 5);
+        assert_eq!(local.dests.len(), 1, "the served call may outrank later reports");
+        local.updates_to_send(900 * S, 24, 5);
+        assert_eq!(local.dests.len(), 0);
     }
 
     #[test]
-    fn own_calls_outrank_what_others_found_and_one_cut_off_alone_harms_nobody() {
-        let mut one = member(1, 5);
-        one.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
+    fn own_calls_outrank_findings_of_others_and_one_origin_alone_has_no_effect() {
+        let mut local = member(1, 5);
+        local.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
         for origin in [2, 3] {
             let finding = Finding::Down(5 * S);
-            one.receive(101 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
+            local.receive(101 * S, &OutageReport { dest: DEST, origin, version: (1, 1), finding });
         }
-        assert_eq!(one.admit(101 * S, DEST), Admission::Fraction(1.0), "served since");
+        assert_eq!(local.admit(101 * S, DEST), Admission::Fraction(1.0), "a call was served since");
         let mut other = member(4, 5);
         for n in 0..1000 {
             let finding = Finding::Down(0);
@@ -560,8 +623,8 @@
             );
             assert_eq!(other.admit((100 + n) * S, DEST), Admission::Fraction(1.0));
         }
-        // Two that say so hold it back, and it tries for itself all the same.
-        let mut tried = 0;
+        // Two origins make the member defer its calls, and it still probes on its own.
+        let mut probes = 0;
         for n in 0..200 {
             for origin in [2, 3] {
                 let finding = Finding::Down(0);
@@ -570,88 +633,88 @@
                     &OutageReport { dest: DEST, origin, version: (2, n + 1), finding },
                 );
             }
-            tried += usize::from(other.admit((2000 + n) * S + 1, DEST) == Admission::Probe);
+            probes += usize::from(other.admit((2000 + n) * S + 1, DEST) == Admission::Probe);
         }
-        assert!((5..60).contains(&tried), "{tried}");
+        assert!((5..60).contains(&probes), "{probes}");
         other.record_call_end(2300 * S, DEST, 2299 * S, CallOutcome::Served);
         assert!(matches!(other.admit(2300 * S, DEST), Admission::Fraction(_)));
     }
 
-    /// Whoever says "back" of what is down is believed once, and then for a while not alone.
+    /// An origin that wrongly reports a recovery is believed once, and then not alone for some time.
     #[test]
-    fn one_that_says_back_too_soon_is_not_believed_alone_the_next_time() {
-        let mut one = member(1, 5);
+    fn an_origin_that_wrongly_reports_a_recovery_is_not_believed_alone_the_next_time() {
+        let mut local = member(1, 5);
         let mut believed = 0;
         for n in 0..100u64 {
             let now = (100 + n) * S;
             for origin in [2, 3] {
                 let finding = Finding::Down(0);
-                one.receive(now, &OutageReport { dest: DEST, origin, version: (1, n + 1), finding });
+                local.receive(now, &OutageReport { dest: DEST, origin, version: (1, n + 1), finding });
             }
             let finding = Finding::Recovered(0);
-            one.receive(now + 1, &OutageReport { dest: DEST, origin: 4, version: (1, n + 1), finding });
-            believed += usize::from(matches!(one.admit(now + 2, DEST), Admission::Fraction(_)));
+            local.receive(now + 1, &OutageReport { dest: DEST, origin: 4, version: (1, n + 1), finding });
+            believed += usize::from(matches!(local.admit(now + 2, DEST), Admission::Fraction(_)));
         }
         assert!((1..=4).contains(&believed), "{believed} of 100");
         let finding = Finding::Recovered(0);
-        one.receive(201 * S, &OutageReport { dest: DEST, origin: 5, version: (1, 1), finding });
-        assert!(
-            matches!(one.admit(201 * S, DEST), Admission::Fraction(_)),
-            "another's word is another matter"
-        );
+        local.receive(201 * S, &OutageReport { dest: DEST, origin: 5, version: (1, 1), finding });
+        assert!(matches!(local.admit(201 * S, DEST), Admission::Fraction(_)), "another origin is trusted");
     }
 
     proptest! {
-        /// Findings heard at one moment make the same of whoever hears them, in any order and however often.
+        /// Findings received at the same time result in the same state in any order and however often they
+        /// are repeated.
         #[test]
         fn the_order_of_findings_does_not_matter(
-            words in proptest::collection::vec((2..6u64, 1..5u64, any::<bool>()), 0..12),
+            reports in proptest::collection::vec((2..6u64, 1..5u64, any::<bool>()), 0..12),
             seed in any::<u64>(),
         ) {
             use rand::SeedableRng;
-            // One origin says one thing under one number.
-            let word = |(origin, count, _): &(u64, u64, bool)| {
+            // An origin issues one report under one version.
+            let report = |(origin, count, _): &(u64, u64, bool)| {
                 let down = (origin * 7 + count * 13) % 3 != 0;
                 let finding = if down { Finding::Down(0) } else { Finding::Recovered(0) };
                 OutageReport { dest: DEST, origin: *origin, version: (1, *count), finding }
             };
-            let words: Vec<OutageReport> = words.iter().map(word).collect();
-            let mut shuffled = [words.clone(), words.clone()].concat();
+            let reports: Vec<OutageReport> = reports.iter().map(report).collect();
+            let mut shuffled = [reports.clone(), reports.clone()].concat();
             let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
             rand::seq::SliceRandom::shuffle(&mut shuffled[..], &mut rng);
-            let heard = |words: &[OutageReport]| {
-                let mut one = member(1, 5);
-                words.iter().for_each(|word| one.receive(S, word));
-                let kept = one.dests.get(&DEST).map(|d| d.words.clone()).unwrap_or_default();
-                kept.iter().map(|(o, w)| (*o, w.order, w.finding)).collect::<Vec<_>>()
+            let merge = |reports: &[OutageReport]| {
+                let mut local = member(1, 5);
+                reports.iter().for_each(|report| local.receive(S, report));
+                let entries = local.dests.get(&DEST).map(|d| d.entries.clone()).unwrap_or_default();
+                let findings = entries.iter().map(|(origin, entry)| (*origin, entry.version, entry.finding));
+                findings.collect::<Vec<_>>()
             };
-            let (a, b) = (heard(&words), heard(&shuffled));
+            let (a, b) = (merge(&reports), merge(&shuffled));
             prop_assert_eq!(a.len(), b.len());
             for (x, y) in a.iter().zip(&b) {
                 prop_assert!(x.0 == y.0 && x.1 == y.1 && x.2 == y.2);
             }
         }
 
-        /// Whatever others say, one that has calls tries within a bounded time, and what they make it hold is bounded.
+        /// Whatever others report, a member with calls probes within a bounded time, and the state kept for
+        /// reports is bounded.
         #[test]
-        fn nobody_is_starved_by_what_others_say(
-            words in proptest::collection::vec((2..40u64, 0..20_000u64, any::<bool>(), 0..50u64), 0..300),
+        fn reports_of_others_neither_starve_a_member_nor_fill_its_memory(
+            reports in proptest::collection::vec((2..40u64, 0..20_000u64, any::<bool>(), 0..50u64), 0..300),
         ) {
-            let mut one = member(1, 30);
+            let mut local = member(1, 30);
             let mut now = 100 * S;
-            let mut held = 0;
-            for (n, (origin, age, down, pause)) in words.into_iter().enumerate() {
+            let mut deferred = 0;
+            for (n, (origin, age, down, pause)) in reports.into_iter().enumerate() {
                 now += pause * S / 100;
                 let finding = if down { Finding::Down(age) } else { Finding::Recovered(age) };
-                one.receive(now, &OutageReport { dest: DEST, origin, version: (1, n as u64 + 1), finding });
+                local.receive(now, &OutageReport { dest: DEST, origin, version: (1, n as u64 + 1), finding });
             }
-            while matches!(one.admit(now, DEST), Admission::Defer(_)) {
+            while matches!(local.admit(now, DEST), Admission::Defer(_)) {
                 now += S / 4;
-                held += 1;
-                prop_assert!(held < 4 * 40, "held for {} turns", held / 4);
+                deferred += 1;
+                prop_assert!(deferred < 4 * 40, "deferred for {} intervals", deferred / 4);
             }
-            let kept = one.dests.get(&DEST).map_or(0, |d| d.words.len());
-            prop_assert!(kept <= ORIGINS_MOST);
+            let entries = local.dests.get(&DEST).map_or(0, |d| d.entries.len());
+            prop_assert!(entries <= MAX_ORIGINS);
         }
     }
 }
