--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -7,13 +7,13 @@
 mod notices;
 
 use crate::call::{AttemptEnd, Call, CallEnd, Item, Order};
+use crate::capacity::{Room, RoomPool};
 use crate::clock::{Clock, unix_now};
 use crate::endpoints::Endpoints;
 use crate::input::Input;
 use crate::list::EndpointList;
 use crate::message::{Answer, Notice, Submission};
-use crate::room::{Room, RoomPool};
-use crate::shares::Shares;
+use crate::quota_shares::Shares;
 use crate::transport::Transport;
 use std::collections::HashMap;
 use std::path::PathBuf;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,6 +15,7 @@
 //! - `run`: turns on a tokio runtime, from the start to a clean end
 
 mod call;
+mod capacity;
 mod clock;
 mod endpoints;
 mod engine;
@@ -22,22 +23,21 @@
 mod input;
 mod list;
 mod message;
-mod room;
+mod quota_shares;
 mod run;
 mod shards;
-mod shares;
 mod transport;
 
 pub use call::{AttemptEnd, Call, CallEnd, Item, Order};
+pub use capacity::RoomPool;
 pub use clock::unix_now;
 pub use engine::{Engine, Options, Shard};
 pub use gate::{CallWent, Gate};
 pub use input::Input;
 pub use list::{EndpointLine, EndpointList, State};
 pub use message::{Answer, Notice, Submission};
-pub use room::RoomPool;
+pub use quota_shares::Shares;
 pub use run::{Phase, run};
 pub use shards::{Engines, fan_out, shard_list, shard_of, shard_settings};
-pub use shares::Shares;
 pub use transport::Transport;
 pub use yarrowhill_journal::{Durability, JournalError, NoticeEnd};
--- a/crates/engine/src/shards.rs
+++ b/crates/engine/src/shards.rs
@@ -1,5 +1,5 @@
 //! Several engines side by side: each has the destinations that fall to it, a journal and a turn of its own, and takes
-//! no lock on a message's way. What they share is leased in portions (see [`crate::room`] and [`crate::shares`]).
+//! no lock on a message's way. What they share is leased in portions (see [`crate::capacity`] and [`crate::quota_shares`]).
 
 use crate::input::Input;
 use crate::list::EndpointList;
