--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -7,14 +7,16 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use yarrowhill_policy::Balancer;
 use yarrowhill_policy::api::*;
-use yarrowhill_settings::{Fields, Names, TIME_BOUND, WireError, index, read_report, read_settings};
+use yarrowhill_settings::{
+    FieldError, Fields, MAX_TIME_US, Names, from_fields, index_of, parse_limit_report,
+};
 
 /// Why serving the wire ended before its end of input.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A malformed line.
     #[error(transparent)]
-    Wire(#[from] WireError),
+    Wire(#[from] FieldError),
     /// Input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -59,10 +61,12 @@
         self.settle(id);
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, WireError> {
+    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, FieldError> {
         let Some(row) = f.get("healthInfo").filter(|r| !r.is_empty() && *r != "-") else { return Ok(None) };
-        let values = self.names.report.iter().map(String::as_str).zip(row.split(','));
-        read_report(values).map(Some).ok_or_else(|| f.bad("healthInfo", format!("cannot read {row:?}")))
+        let values = self.names.report_fields.iter().map(String::as_str).zip(row.split(','));
+        parse_limit_report(values)
+            .map(Some)
+            .ok_or_else(|| f.error("healthInfo", format!("cannot read {row:?}")))
     }
 
     fn write(&mut self, number: u64, out: &mut String) {
@@ -111,19 +115,22 @@
     t as f64 / 1000.0
 }
 
-fn outcome(f: &Fields, field: &str) -> Result<Outcome, WireError> {
-    Ok(match f.int(field)? {
+fn outcome(f: &Fields, field: &str) -> Result<Outcome, FieldError> {
+    Ok(match f.required_int(field)? {
         0 => Outcome::Delivered,
         255 => Outcome::Error,
         254 => Outcome::Full {
-            wait: f.num("detail")?.filter(|w| *w > 0.0).map(|w| (w.min(TIME_BOUND / 1e3) * 1e3) as Micros),
+            wait: f
+                .number("detail")?
+                .filter(|w| *w > 0.0)
+                .map(|w| (w.min(MAX_TIME_US / 1e3) * 1e3) as Micros),
         },
         253 => Outcome::TimedOut,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
         250 => Outcome::Cancelled,
         249 => Outcome::NotSent,
-        v => return Err(f.bad(field, format!("unknown outcome {v}"))),
+        v => return Err(f.error(field, format!("unknown outcome {v}"))),
     })
 }
 
@@ -149,18 +156,18 @@
 }
 
 impl Host {
-    fn event(&mut self, name: &str, f: &Fields) -> Result<(), WireError> {
+    fn event(&mut self, name: &str, f: &Fields) -> Result<(), FieldError> {
         match name {
             "CATALOG" => {
-                let sheet = f.int("sheet")?;
+                let sheet = f.required_int("sheet")?;
                 self.sheets.insert(sheet, Vec::new());
-                self.reading = Some((sheet, f.int("entries")?));
+                self.reading = Some((sheet, f.required_int("entries")?));
                 return Ok(());
             }
             "ROW" => return self.row(f),
             "BOOT" => return self.boot(f),
             "EXIT" => {
-                let number = f.int("forwarder")?;
+                let number = f.required_int("forwarder")?;
                 self.instances.remove(&number);
                 self.touched.retain(|n| *n != number);
                 return Ok(());
@@ -168,32 +175,32 @@
             "SUBMIT" | "UNDER_WAY" | "RETURNED" | "CLIENT_LEFT" | "RING" | "ENDPOINTS" => {}
             _ => return Ok(()),
         }
-        let number = f.int("forwarder")?;
+        let number = f.required_int("forwarder")?;
         let Some(inst) = self.instances.get_mut(&number) else {
-            return Err(f.bad("forwarder", format!("no instance {number}")));
+            return Err(f.error("forwarder", format!("no instance {number}")));
         };
         if !self.touched.contains(&number) {
             self.touched.push(number);
         }
-        let known = |inst: &Instance| -> Result<Option<MessageId>, WireError> {
-            Ok(inst.ids.get(f.need("ref")?).copied())
+        let known = |inst: &Instance| -> Result<Option<MessageId>, FieldError> {
+            Ok(inst.ids.get(f.required("ref")?).copied())
         };
         let mut closes = None;
         let event = match name {
             "SUBMIT" => {
-                let class = f.need("priority")?;
-                let class = index(&inst.names.classes, class)
-                    .ok_or_else(|| f.bad("priority", format!("unknown class {class:?}")))?;
+                let class = f.required("priority")?;
+                let class = index_of(&inst.names.classes, class)
+                    .ok_or_else(|| f.error("priority", format!("unknown class {class:?}")))?;
                 let event = Event::Submit(SubmittedMessage {
                     id: inst.next,
                     class,
-                    tenant: f.get("clientGroup").and_then(|t| index(&inst.names.tenants, t)),
+                    tenant: f.get("clientGroup").and_then(|t| index_of(&inst.names.tenants, t)),
                     key: f.get("partitionKey").filter(|k| !k.is_empty()).map(str::to_owned),
-                    expires_at: f.time("giveUpAt")?.ok_or_else(|| f.bad("giveUpAt", "missing"))?,
-                    dest: f.int("calledNode")?,
+                    expires_at: f.time("giveUpAt")?.ok_or_else(|| f.error("giveUpAt", "missing"))?,
+                    dest: f.required_int("calledNode")?,
                     history: MessageHistory::default(),
                 });
-                let wire_id = f.need("ref")?.to_owned();
+                let wire_id = f.required("ref")?.to_owned();
                 inst.ids.insert(wire_id.clone(), inst.next);
                 inst.held.insert(inst.next, Held { wire_id, out: 0, sent: 0, over: false });
                 inst.next += 1;
@@ -201,13 +208,13 @@
             }
             "RETURNED" => {
                 let (attempt, outcome, finished) =
-                    (f.int("go")? as usize, outcome(f, "how")?, f.flag("finished")?);
+                    (f.required_int("go")? as usize, outcome(f, "how")?, f.flag("finished")?);
                 let elapsed = f.time("elapsed")?.unwrap_or(0);
                 let report = inst.report(f)?;
                 let Some(id) = known(inst)? else { return Ok(()) };
                 let held = inst.held.get_mut(&id).expect("ids and held go together");
                 if attempt >= held.sent {
-                    return Err(f.bad("go", format!("attempt {attempt} was never sent")));
+                    return Err(f.error("go", format!("attempt {attempt} was never sent")));
                 }
                 held.out = held.out.saturating_sub(1);
                 held.over |= finished;
@@ -236,14 +243,14 @@
             },
             "RING" => Event::Wake,
             _ => {
-                let mode = f.need("mode")?;
-                let entries = || -> Result<Vec<EndpointEntry>, WireError> {
-                    let sheet = f.int("sheet")?;
+                let mode = f.required("mode")?;
+                let entries = || -> Result<Vec<EndpointEntry>, FieldError> {
+                    let sheet = f.required_int("sheet")?;
                     let rows = self
                         .sheets
                         .get(&sheet)
-                        .ok_or_else(|| f.bad("sheet", format!("no catalog numbered {sheet}")))?;
-                    let number = |names: &[String], name: &str| index(names, name).unwrap_or(usize::MAX);
+                        .ok_or_else(|| f.error("sheet", format!("no catalog numbered {sheet}")))?;
+                    let number = |names: &[String], name: &str| index_of(names, name).unwrap_or(usize::MAX);
                     Ok(rows
                         .iter()
                         .map(|r| EndpointEntry {
@@ -260,7 +267,7 @@
                     "patch" => Event::ListChanges(entries()?),
                     "whole" | "stale_copy" => Event::FullList(entries()?),
                     "broken" => Event::SubscriptionFailed,
-                    v => return Err(f.bad("mode", format!("unknown mode {v:?}"))),
+                    v => return Err(f.error("mode", format!("unknown mode {v:?}"))),
                 }
             }
         };
@@ -277,33 +284,33 @@
         Ok(())
     }
 
-    fn row(&mut self, f: &Fields) -> Result<(), WireError> {
+    fn row(&mut self, f: &Fields) -> Result<(), FieldError> {
         let Some((sheet, left)) = self.reading.filter(|(_, left)| *left > 0) else {
-            return Err(f.bad("ROW", "no catalog has room for it"));
+            return Err(f.error("ROW", "no catalog has room for it"));
         };
         let row = Row {
-            endpoint: f.int("target")?,
-            dest: f.int("belongsTo")?,
+            endpoint: f.required_int("target")?,
+            dest: f.required_int("belongsTo")?,
             zone: f.get("site").unwrap_or_default().to_owned(),
             kind: f.get("flavor").unwrap_or_default().to_owned(),
-            listing: match f.need("availability")? {
+            listing: match f.required("availability")? {
                 "SERVING" => Listing::Serving,
                 "DRAINING" => Listing::Draining,
                 "DELETED" => Listing::Deleted,
-                v => return Err(f.bad("availability", format!("unknown state {v:?}"))),
+                v => return Err(f.error("availability", format!("unknown state {v:?}"))),
             },
-            weight: f.num("scale")?.unwrap_or(1.0),
+            weight: f.number("scale")?.unwrap_or(1.0),
         };
         self.sheets.entry(sheet).or_default().push(row);
         self.reading = Some((sheet, left - 1));
         Ok(())
     }
 
-    fn boot(&mut self, f: &Fields) -> Result<(), WireError> {
-        let number = f.int("forwarder")?;
-        let seed = f.int("nonce64")?;
+    fn boot(&mut self, f: &Fields) -> Result<(), FieldError> {
+        let number = f.required_int("forwarder")?;
+        let seed = f.required_int("nonce64")?;
         let conf = Fields { line: f.line, pairs: f.pairs.clone() };
-        let (settings, names) = read_settings(conf)?;
+        let (settings, names) = from_fields(conf)?;
         let instance = Instance {
             balancer: Balancer::new(settings, seed),
             names,
@@ -354,14 +361,14 @@
         let fields = Fields::parse(at, rest)?;
         if name == "FRAME" {
             if in_frame {
-                return Err(fields.bad("FRAME", "the last batch has not been closed").into());
+                return Err(fields.error("FRAME", "the last batch has not been closed").into());
             }
-            host.now = fields.time("time")?.ok_or_else(|| fields.bad("time", "missing"))?;
+            host.now = fields.time("time")?.ok_or_else(|| fields.error("time", "missing"))?;
             in_frame = true;
             continue;
         }
         if !in_frame {
-            return Err(fields.bad(name, "outside a batch").into());
+            return Err(fields.error(name, "outside a batch").into());
         }
         let mut out = String::new();
         let over = name == "OVER_TO_YOU";
@@ -376,14 +383,14 @@
         match done {
             Ok(result) => result?,
             Err(cause) => {
-                let number = fields.int("forwarder").unwrap_or(last);
+                let number = fields.required_int("forwarder").unwrap_or(last);
                 let text = panic_text(cause.as_ref());
                 write!(output, "INTERNAL_ERROR forwarder={number} msg={text}\nOK\n")?;
                 output.flush()?;
                 return Err(ServeError::Panicked);
             }
         }
-        if let Ok(number) = fields.int("forwarder") {
+        if let Ok(number) = fields.required_int("forwarder") {
             last = number;
         }
         if over {
--- a/crates/bench/src/scale.rs
+++ b/crates/bench/src/scale.rs
@@ -15,8 +15,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use yarrowhill_engine::{
-    Answer, AttemptEnd, Call, CallEnd, EndpointList, Engine, Input, Notice, Options, Submission, Transport,
-    unix_now,
+    Answer, AttemptEnd, Call, CallUpdate, EndpointList, Engine, Input, Notice, Options, Submission,
+    Transport, unix_now_ms,
 };
 use yarrowhill_journal::{Durability, End, Journal, Record};
 use yarrowhill_policy::api::{EndpointId, Micros, Outcome};
@@ -42,15 +42,15 @@
 }
 
 impl Transport for Calls {
-    fn start(&mut self, call: Call, _: Sender<Input>) {
+    fn start_call(&mut self, call: Call, _: Sender<Input>) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(call);
     }
 
-    fn endpoint(&mut self, _: EndpointId, _: Option<SocketAddr>) {}
+    fn set_endpoint_address(&mut self, _: EndpointId, _: Option<SocketAddr>) {}
 
     fn close_idle(&mut self, _: EndpointId) {}
 
-    fn sweep(&mut self) {}
+    fn prune_idle(&mut self) {}
 }
 
 struct World {
@@ -88,15 +88,18 @@
             settings,
             names,
             seed: 1,
-            state: folder.into(),
-            journal_limit: LIMIT,
+            state_dir: folder.into(),
+            max_journal_bytes: LIMIT,
             durability: Durability::Process,
-            known,
+            initial_list: known,
             shard: None,
         };
         let mut engine = Engine::start(options, calls.clone(), notices, inputs)?;
         // Discovery's agent has nothing new to say: without its word nothing is sent at first.
-        engine.turn(vec![Input::List(EndpointList { rev: 1, all: false, lines: Vec::new() })], true);
+        engine.run_turn(
+            vec![Input::List(EndpointList { version: 1, is_full: false, endpoints: Vec::new() })],
+            true,
+        );
         Ok(World {
             engine,
             calls,
@@ -138,7 +141,7 @@
                 report: None,
                 wait: None,
             });
-            Input::Call(CallEnd { endpoint: call.endpoint, ended: ended.collect() })
+            Input::CallUpdate(CallUpdate { endpoint: call.endpoint, ended: ended.collect() })
         };
         self.calls.take().into_iter().map(&mut end).collect()
     }
@@ -151,15 +154,15 @@
             let part = (open - held).min(1000);
             let batch = (0..part).map(|n| self.message(1 + (held + n) as u64 % WAITING));
             let kept: Vec<_> = batch.collect();
-            self.engine.turn(kept, true);
+            self.engine.run_turn(kept, true);
             let ended = self.end(Outcome::Full { wait: Some(wait) });
-            self.engine.turn(ended, true);
+            self.engine.run_turn(ended, true);
             self.clients.clear();
             held += part;
         }
-        while self.engine.in_flight() > 0 {
+        while self.engine.attempts_in_flight() > 0 {
             let ended = self.end(Outcome::Full { wait: Some(wait) });
-            self.engine.turn(ended, true);
+            self.engine.run_turn(ended, true);
         }
     }
 
@@ -168,11 +171,11 @@
         let start = std::time::Instant::now();
         for _ in 0..TURNS {
             let batch: Vec<Input> = (0..BATCH).map(|_| self.message(0)).collect();
-            self.engine.turn(batch, true);
+            self.engine.run_turn(batch, true);
             self.clients.clear();
-            while self.engine.in_flight() > 0 {
+            while self.engine.attempts_in_flight() > 0 {
                 let ended = self.end(Outcome::Delivered);
-                self.engine.turn(ended, true);
+                self.engine.run_turn(ended, true);
             }
         }
         start.elapsed().as_secs_f64() * 1e6 / (TURNS * BATCH) as f64
@@ -182,7 +185,7 @@
 fn cost(ends: usize, open: usize) -> Result<f64, Box<dyn Error>> {
     let folder = std::env::temp_dir().join(format!("yarrowhill-bench-scale-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
-    let now = unix_now();
+    let now = unix_now_ms();
     let options = yarrowhill_journal::Options { max_bytes: LIMIT, durability: Durability::Process };
     let (mut journal, _) = Journal::open(&folder, options, now)?;
     for n in 0..ends {
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -15,17 +15,17 @@
     /// Which attempt of it this is.
     pub attempt: usize,
     /// Its id on the wire.
-    pub name: String,
+    pub message_id: String,
     /// Its idempotency key.
     pub key: Option<String>,
     /// Its body.
     pub body: Bytes,
     /// The wait for it ends then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Nothing of it may be written later: not begun by then, it ends as [`Outcome::NotSent`].
     pub begin_by: Instant,
     /// The message has been tried before: what went back unsent was none.
-    pub further: bool,
+    pub is_retry: bool,
 }
 
 /// A call to make.
@@ -36,29 +36,29 @@
     /// Whose endpoint it is.
     pub dest: DestId,
     /// The endpoint's address now.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// When it was decided on.
-    pub decided: Instant,
+    pub decided_at: Instant,
     /// The messages in it, at least one.
     pub items: Vec<Item>,
     /// Attempts of it may end while the call goes on. Else all end with the first that must: until its connection is
     /// closed, the call counts as out for each message in it.
-    pub second_copies: bool,
+    pub may_overlap_attempts: bool,
     /// A connection that is not up by then never comes up.
     pub connect_timeout: Duration,
     /// Another endpoint of its destination is in service: the messages need not wait for a connection that is late.
-    pub elsewhere: bool,
+    pub has_alternative: bool,
     /// What the engine says to the call while it is out.
-    pub orders: Receiver<Order>,
+    pub commands: Receiver<CallCommand>,
 }
 
 /// What the engine may still say to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum CallCommand {
     /// This attempt is cancelled.
     Cancel(MessageId, usize),
     /// The destination told a wait: nothing may be written from now on.
-    Hold,
+    Defer,
 }
 
 /// How an attempt ended.
@@ -81,7 +81,7 @@
 /// News of a call: attempts that ended. Each attempt of a call ends once; the last only when the call holds its
 /// slot at the endpoint no longer.
 #[derive(Debug)]
-pub struct CallEnd {
+pub struct CallUpdate {
     /// Where the call went.
     pub endpoint: EndpointId,
     /// The attempts that ended.
--- a/crates/engine/src/capacity.rs
+++ b/crates/engine/src/capacity.rs
@@ -9,16 +9,16 @@
 
 /// What the shards of a process share.
 #[derive(Debug)]
-pub struct RoomPool {
+pub struct CapacityPool {
     free: AtomicUsize,
     portion: usize,
 }
 
-impl RoomPool {
-    /// Room for so many messages in all.
+impl CapacityPool {
+    /// MessageCapacity for so many messages in all.
     pub fn new(total: usize, shards: usize) -> Arc<Self> {
         let portion = (total / (PORTIONS * shards.max(1))).max(1);
-        Arc::new(RoomPool { free: AtomicUsize::new(total), portion })
+        Arc::new(CapacityPool { free: AtomicUsize::new(total), portion })
     }
 
     fn take(&self) -> usize {
@@ -28,23 +28,23 @@
     }
 }
 
-/// Room for open messages.
+/// MessageCapacity for open messages.
 ///
 #[derive(Debug)]
-pub(crate) struct Room {
+pub(crate) struct MessageCapacity {
     held: usize,
-    pool: Option<Arc<RoomPool>>,
+    pool: Option<Arc<CapacityPool>>,
 }
 
-impl Room {
+impl MessageCapacity {
     /// So many, whatever others do.
-    pub fn own(most: usize) -> Self {
-        Room { held: most, pool: None }
+    pub fn fixed(most: usize) -> Self {
+        MessageCapacity { held: most, pool: None }
     }
 
     /// Leased from a pool as it is needed.
-    pub fn leased(pool: &Arc<RoomPool>) -> Self {
-        Room { held: 0, pool: Some(pool.clone()) }
+    pub fn leased(pool: &Arc<CapacityPool>) -> Self {
+        MessageCapacity { held: 0, pool: Some(pool.clone()) }
     }
 
     /// Whether one more may be open beside so many. What all shards hold together is never more than the pool had.
@@ -71,7 +71,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for MessageCapacity {
     fn drop(&mut self) {
         if let Some(pool) = &self.pool {
             pool.free.fetch_add(self.held, Ordering::Relaxed);
@@ -91,8 +91,8 @@
         fn leases_never_sum_up_to_more_than_there_is(
             total in 1..200usize, steps in proptest::collection::vec((0..3usize, any::<bool>()), 1..600)
         ) {
-            let pool = RoomPool::new(total, 3);
-            let mut rooms: Vec<Room> = (0..3).map(|_| Room::leased(&pool)).collect();
+            let pool = CapacityPool::new(total, 3);
+            let mut rooms: Vec<MessageCapacity> = (0..3).map(|_| MessageCapacity::leased(&pool)).collect();
             let mut open = [0usize; 3];
             for (shard, comes) in steps {
                 if comes {
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -30,8 +30,8 @@
 /// Unix time in milliseconds.
 ///
 /// ```
-/// assert!(yarrowhill_engine::unix_now() > 1_700_000_000_000);
+/// assert!(yarrowhill_engine::unix_now_ms() > 1_700_000_000_000);
 /// ```
-pub fn unix_now() -> u64 {
+pub fn unix_now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,11 +1,11 @@
 //! The endpoints that the list has named, and the numbers that the module knows them by.
 
-use crate::list::{EndpointLine, EndpointList, State};
+use crate::list::{EndpointInfo, EndpointList, EndpointState};
 use crate::transport::Transport;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use yarrowhill_policy::api::{DestId, EndpointEntry, EndpointId, Event, Listing, Micros, Settings};
-use yarrowhill_settings::{Names, index};
+use yarrowhill_settings::{Names, index_of};
 
 /// A list is no further behind another than this (microseconds): a lower version after that is another numbering.
 const BEHIND_MOST: Micros = 30_000_000;
@@ -16,7 +16,7 @@
 pub(crate) struct Endpoint {
     uid: String,
     pub(crate) dest: DestId,
-    pub(crate) to: SocketAddr,
+    pub(crate) address: SocketAddr,
     pub(crate) zone: String,
     /// Messages that may travel in one call.
     pub(crate) batch: usize,
@@ -65,31 +65,31 @@
         names: &Names,
         transport: &mut impl Transport,
     ) -> Event {
-        if list.all {
+        if list.is_full {
             for (id, endpoint) in &mut self.known {
                 if std::mem::take(&mut endpoint.serves) {
-                    endpoint.left = Some((list.rev, now));
+                    endpoint.left = Some((list.version, now));
                 }
                 self.gone.entry(*id).or_insert(now);
             }
         }
         let entries =
-            list.lines.iter().map(|line| self.line(now, list.rev, line, settings, names, transport));
+            list.endpoints.iter().map(|line| self.line(now, list.version, line, settings, names, transport));
         let entries: Vec<EndpointEntry> = entries.collect();
-        self.gone.keys().for_each(|id| transport.endpoint(*id, None));
+        self.gone.keys().for_each(|id| transport.set_endpoint_address(*id, None));
         self.forget(now);
         self.serving.clear();
         for endpoint in self.known.values().filter(|endpoint| endpoint.serves) {
             *self.serving.entry(endpoint.dest).or_default() += 1;
         }
-        if list.all { Event::FullList(entries) } else { Event::ListChanges(entries) }
+        if list.is_full { Event::FullList(entries) } else { Event::ListChanges(entries) }
     }
 
     fn line(
         &mut self,
         now: Micros,
         rev: u64,
-        line: &EndpointLine,
+        line: &EndpointInfo,
         settings: &Settings,
         names: &Names,
         transport: &mut impl Transport,
@@ -97,38 +97,40 @@
         let next = self.next;
         let endpoint = *self.uids.entry(line.uid.clone()).or_insert(next);
         self.next += EndpointId::from(endpoint == next);
-        let kind = index(&names.kinds, &line.kind).unwrap_or(usize::MAX);
+        let kind = index_of(&names.kinds, &line.kind).unwrap_or(usize::MAX);
         let batch = settings.kinds.get(kind).map_or(1, |k| k.max_batch.max(1));
         let new = || Endpoint {
             uid: line.uid.clone(),
             dest: line.dest,
-            to: line.address,
+            address: line.address,
             zone: line.zone.clone(),
             batch,
             in_flight: 0,
             serves: false,
-            started: line.started,
+            started: line.started_ms,
             left: None,
         };
         let known = self.known.entry(endpoint).or_insert_with(new);
-        (known.dest, known.to, known.batch) = (line.dest, line.address, batch);
+        (known.dest, known.address, known.batch) = (line.dest, line.address, batch);
         // Guards the rule on drains: where discovery has moved, or one of several answers, the new one may have fallen
         // behind. What has drained is not in service again by an older word, unless it has started anew.
         let older = known.left.is_some_and(|(left, at)| rev < left && now < at + BEHIND_MOST);
         let state = match line.state {
-            State::InService if older && line.started <= known.started => State::Terminating,
+            EndpointState::InService if older && line.started_ms <= known.started => {
+                EndpointState::Terminating
+            }
             state => state,
         };
-        known.started = known.started.max(line.started);
-        known.serves = state == State::InService;
+        known.started = known.started.max(line.started_ms);
+        known.serves = state == EndpointState::InService;
         if known.serves {
             known.left = None;
         } else if !older {
             known.left = Some((rev, now));
         }
         // One that is to end wants no connections either.
-        transport.endpoint(endpoint, known.serves.then_some(line.address));
-        if state == State::Terminated {
+        transport.set_endpoint_address(endpoint, known.serves.then_some(line.address));
+        if state == EndpointState::Terminated {
             self.gone.entry(endpoint).or_insert(now);
         } else {
             self.gone.remove(&endpoint);
@@ -136,12 +138,12 @@
         EndpointEntry {
             endpoint,
             dest: line.dest,
-            zone: index(&names.zones, &line.zone).unwrap_or(usize::MAX),
+            zone: index_of(&names.zones, &line.zone).unwrap_or(usize::MAX),
             kind,
             listing: match state {
-                State::InService => Listing::Serving,
-                State::Terminating => Listing::Draining,
-                State::Terminated => Listing::Deleted,
+                EndpointState::InService => Listing::Serving,
+                EndpointState::Terminating => Listing::Draining,
+                EndpointState::Terminated => Listing::Deleted,
             },
             weight: line.weight,
         }
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -52,38 +52,43 @@
             items.push(Item {
                 id: send.id,
                 attempt: send.attempt,
-                name: message.accepted.id.clone(),
+                message_id: message.accepted.id.clone(),
                 key: message.accepted.key.clone(),
                 body: message.accepted.body.clone(),
-                until: self.clock.instant(send.until.min(ends)),
+                deadline: self.clock.instant(send.until.min(ends)),
                 begin_by: self.clock.instant(send.begin_by.min(now.saturating_add(begins))),
-                further: message.tried,
+                is_retry: message.tried,
             });
         }
         let Some(t) = self.endpoints.get_mut(endpoint).filter(|_| !items.is_empty()) else { return };
         // Each attempt is cancelled once at most; one more place is for a hold.
-        let (sender, orders) = channel(items.len() + 1);
+        let (sender, receiver) = channel(items.len() + 1);
         self.calls.insert(
             self.next_call,
-            CallOut { endpoint, ends, left: items.len(), orders: sender, held: false },
+            CallOut { endpoint, ends, left: items.len(), commands: sender, held: false },
         );
         self.next_call += 1;
         t.in_flight += 1;
-        let connect_timeout = Duration::from_micros(connect_timeout as u64);
-        let second_copies = self.settings.may_overlap_attempts;
-        let decided = Instant::now();
-        let (dest, to) = (t.dest, t.to);
-        let elsewhere = self.endpoints.serving(dest) > 1;
-        let call =
-            Call { endpoint, dest, to, decided, items, second_copies, connect_timeout, elsewhere, orders };
-        self.transport.start(call, self.inputs.clone());
+        let dest = t.dest;
+        let call = Call {
+            endpoint,
+            dest,
+            address: t.address,
+            decided_at: Instant::now(),
+            items,
+            may_overlap_attempts: self.settings.may_overlap_attempts,
+            connect_timeout: Duration::from_micros(connect_timeout as u64),
+            has_alternative: self.endpoints.serving(dest) > 1,
+            commands: receiver,
+        };
+        self.transport.start_call(call, self.inputs.clone());
     }
 
     pub(super) fn cancel(&mut self, id: MessageId, attempt: usize) {
         let call = self.in_flight.get(&(id, attempt)).and_then(|out| self.calls.get(&out.call));
         if let Some(call) = call {
             // Closed: its outcome is on its way.
-            let _ = call.orders.try_send(Order::Cancel(id, attempt));
+            let _ = call.commands.try_send(CallCommand::Cancel(id, attempt));
         }
     }
 
@@ -93,12 +98,12 @@
             if !call.held && at(&self.endpoints, call.endpoint) {
                 call.held = true;
                 // Closed: its outcome is on its way.
-                let _ = call.orders.try_send(Order::Hold);
+                let _ = call.commands.try_send(CallCommand::Defer);
             }
         }
     }
 
-    pub(super) fn call_end(&mut self, now: Micros, news: CallEnd) {
+    pub(super) fn call_end(&mut self, now: Micros, news: CallUpdate) {
         if news.ended.iter().any(|e| e.wait.is_some()) {
             // A wait that was told binds for the whole destination.
             let dest = self.endpoints.get(news.endpoint).map(|t| t.dest);
@@ -124,7 +129,7 @@
                 }
             }
         }
-        let unix = unix_now();
+        let unix = unix_now_ms();
         let name = || self.messages.get(&id).map(|m| &*m.accepted.id);
         tracing::debug!(id = name(), attempt, ?outcome, took = now - out.sent, ?report, wait, "ended");
         if finished && let Some(message) = self.messages.remove(&id) {
--- a/crates/engine/src/engine/commit.rs
+++ b/crates/engine/src/engine/commit.rs
@@ -6,7 +6,7 @@
     /// Writes the turn, then answers clients and starts calls. Without room, or if writing fails, nothing new
     /// is taken on and nothing goes out.
     pub(super) fn commit(&mut self, now: Micros, fresh: Vec<MessageId>, sends: Vec<Send>) {
-        let unix = unix_now();
+        let unix = unix_now_ms();
         let (mut taken, mut records, mut bytes) = (Vec::new(), Vec::new(), 0);
         for id in fresh {
             let Some(message) = self.messages.get(&id) else { continue };
@@ -70,7 +70,7 @@
     pub(super) fn client_left(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
-            self.journal.enqueue(&Record::Closed(message.accepted.id, End::Refused, 0), unix_now());
+            self.journal.enqueue(&Record::Closed(message.accepted.id, End::Refused, 0), unix_now_ms());
             self.events.push(Event::ClientDisconnected { id });
         }
     }
--- a/crates/engine/src/engine/intake.rs
+++ b/crates/engine/src/engine/intake.rs
@@ -22,7 +22,7 @@
             Some((End::Failed, _)) => Some(Answer::Failed),
             Some((End::Refused, _)) => Some(Answer::Refused(None)),
             None if self.ids.contains_key(&name) => Some(Answer::Accepted),
-            None if !self.room.admits(self.messages.len()) => Some(Answer::Refused(None)),
+            None if !self.capacity.admits(self.messages.len()) => Some(Answer::Refused(None)),
             None => None,
         };
         let class_name = self.names.classes.get(class).cloned();
@@ -43,7 +43,7 @@
             tenant: tenant_name,
             dest,
             key,
-            deadline: unix_now() + left,
+            deadline: unix_now_ms() + left,
             body,
         };
         let message = Message {
@@ -86,15 +86,15 @@
     pub(super) fn resume(&mut self, now: Micros, open: OpenMessage) {
         let OpenMessage { accepted, attempts, pending_notice, in_doubt } = open;
         if let Some(end) = pending_notice {
-            return self.owed.push(Notice { message: accepted.id, end });
+            return self.owed.push(Notice { message_id: accepted.id, end });
         }
-        let unix = unix_now();
+        let unix = unix_now_ms();
         let ago = |then: u64| (then as i64 - unix as i64).saturating_mul(1000);
         // What the journal has lost of it may have been an attempt at any time.
         let unknown = in_doubt.then_some((now.saturating_sub(LONG_AGO), usize::MAX));
         let risk = unknown.or_else(|| {
             let first = attempts.iter().filter(|a| a.may_have_run).min_by_key(|a| a.sent_ms)?;
-            let zone = index(&self.names.zones, &first.zone).unwrap_or(usize::MAX);
+            let zone = index_of(&self.names.zones, &first.zone).unwrap_or(usize::MAX);
             Some((now.saturating_add(ago(first.sent_ms).max(-LONG_AGO)), zone))
         });
         let past = MessageHistory {
@@ -102,8 +102,8 @@
             first_possible_run: risk,
             was_accepted: true,
         };
-        let class = index(&self.names.classes, &accepted.class);
-        let tenant = accepted.tenant.as_ref().and_then(|t| index(&self.names.tenants, t));
+        let class = index_of(&self.names.classes, &accepted.class);
+        let tenant = accepted.tenant.as_ref().and_then(|t| index_of(&self.names.tenants, t));
         let give_up_at = now.saturating_add(ago(accepted.deadline));
         let message = Message {
             accepted,
@@ -147,7 +147,7 @@
     /// A notice is owed, on record until it is acknowledged.
     pub(super) fn owe(&mut self, message: Accepted, end: NoticeEnd) {
         let Accepted { id, deadline, .. } = message;
-        self.journal.enqueue(&Record::NoticePending(id.clone(), end, deadline), unix_now());
-        self.owed.push(Notice { message: id, end });
+        self.journal.enqueue(&Record::NoticePending(id.clone(), end, deadline), unix_now_ms());
+        self.owed.push(Notice { message_id: id, end });
     }
 }
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -6,14 +6,14 @@
 mod intake;
 mod notices;
 
-use crate::call::{AttemptEnd, Call, CallEnd, Item, Order};
-use crate::capacity::{Room, RoomPool};
-use crate::clock::{Clock, unix_now};
+use crate::call::{AttemptEnd, Call, CallCommand, CallUpdate, Item};
+use crate::capacity::{CapacityPool, MessageCapacity};
+use crate::clock::{Clock, unix_now_ms};
 use crate::endpoints::Endpoints;
 use crate::input::Input;
 use crate::list::EndpointList;
 use crate::message::{Answer, Notice, Submission};
-use crate::quota_shares::Shares;
+use crate::quota_shares::QuotaShares;
 use crate::transport::Transport;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
     Action, EndedAttempt, EndpointId, Event, MessageHistory, MessageId, Micros, Outcome, Settings,
     SubmittedMessage,
 };
-use yarrowhill_settings::{Names, index};
+use yarrowhill_settings::{Names, index_of};
 
 /// Clients that may wait for the answer to one message.
 const SAME_MOST: usize = 4;
@@ -65,13 +65,13 @@
     /// For random numbers.
     pub seed: u64,
     /// The folder that outlasts the process.
-    pub state: PathBuf,
+    pub state_dir: PathBuf,
     /// Bytes that the journal may take there.
-    pub journal_limit: u64,
+    pub max_journal_bytes: u64,
     /// What a written turn outlasts.
     pub durability: Durability,
     /// The list of endpoints as it was last known.
-    pub known: EndpointList,
+    pub initial_list: EndpointList,
     /// Its place among several engines, if it has others beside it.
     pub shard: Option<Shard>,
 }
@@ -80,17 +80,17 @@
 #[derive(Clone, Debug)]
 pub struct Shard {
     /// Which of them, from 0 on.
-    pub number: usize,
+    pub index: usize,
     /// Messages that all together may hold.
-    pub pool: Arc<RoomPool>,
+    pub capacity: Arc<CapacityPool>,
     /// What they tell each other of the owners.
-    pub shares: Arc<Shares>,
+    pub quota_shares: Arc<QuotaShares>,
 }
 
 /// What one of several engines knows of the owners.
 struct Owners {
     shard: usize,
-    shares: Arc<Shares>,
+    quota_shares: Arc<QuotaShares>,
     /// Their whole shares (messages a second).
     quotas: Vec<f64>,
     /// What came in since the others were last told.
@@ -131,7 +131,7 @@
     ends: Micros,
     /// Attempts of it that have not ended.
     left: usize,
-    orders: Sender<Order>,
+    commands: Sender<CallCommand>,
     /// It has been told that nothing more of it may be written.
     held: bool,
 }
@@ -153,7 +153,7 @@
     journal: Journal,
     transport: T,
     messages: HashMap<MessageId, Message>,
-    room: Room,
+    capacity: MessageCapacity,
     owners: Option<Owners>,
     ids: HashMap<String, MessageId>,
     next_id: MessageId,
@@ -187,19 +187,19 @@
         notices: Sender<Vec<Notice>>,
         inputs: Sender<Input>,
     ) -> Result<Self, JournalError> {
-        let journal = JournalOptions { max_bytes: options.journal_limit, durability: options.durability };
-        let (journal, recovered) = Journal::open(&options.state, journal, unix_now())?;
+        let journal = JournalOptions { max_bytes: options.max_journal_bytes, durability: options.durability };
+        let (journal, recovered) = Journal::open(&options.state_dir, journal, unix_now_ms())?;
         let quotas: Vec<f64> = options.settings.tenants.iter().map(|t| t.quota).collect();
-        let room = match &options.shard {
-            Some(shard) => Room::leased(&shard.pool),
-            None => Room::own(options.settings.max_held_messages),
+        let capacity = match &options.shard {
+            Some(shard) => MessageCapacity::leased(&shard.capacity),
+            None => MessageCapacity::fixed(options.settings.max_held_messages),
         };
-        let owners = options.shard.map(|Shard { number, shares, .. }| {
+        let owners = options.shard.map(|Shard { index, quota_shares, .. }| {
             let counts = vec![0; quotas.len()];
-            Owners { shard: number, shares, quotas, counts, told: None }
+            Owners { shard: index, quota_shares, quotas, counts, told: None }
         });
         let mut engine = Engine {
-            room,
+            capacity,
             owners,
             balancer: Balancer::new(options.settings.clone(), options.seed),
             settings: options.settings,
@@ -226,9 +226,9 @@
         let now = engine.clock.now();
         // Where discovery has to be asked, many do, and what is known has to do.
         engine.word_by = (!engine.settings.must_subscribe).then_some(now + FIRST_WORD);
-        engine.list(now, &options.known);
-        for (message, end) in recovered.orphans {
-            engine.owed.push(Notice { message, end });
+        engine.list(now, &options.initial_list);
+        for (message_id, end) in recovered.orphans {
+            engine.owed.push(Notice { message_id, end });
         }
         recovered.open.into_iter().for_each(|open| engine.resume(now, open));
         // Nothing is sent yet: what was known may be old.
@@ -237,7 +237,7 @@
     }
 
     /// Least time between two turns.
-    pub fn round(&self) -> Duration {
+    pub fn min_turn_interval(&self) -> Duration {
         Duration::from_micros(self.settings.min_turn_interval.max(1000) as u64)
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Attempts that are out.
-    pub fn in_flight(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
@@ -261,12 +261,12 @@
     }
 
     /// Whether all that was noted stands in the journal.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.journal.is_flushed()
     }
 
     /// Takes one turn; without `sending` no call starts in it.
-    pub fn turn(&mut self, batch: Vec<Input>, sending: bool) {
+    pub fn run_turn(&mut self, batch: Vec<Input>, sending: bool) {
         let now = self.clock.now();
         for event in std::mem::take(&mut self.events) {
             self.balancer.on_event(now, event, &mut self.actions);
@@ -276,15 +276,15 @@
         for input in batch {
             match input {
                 Input::Submission(message) => fresh.extend(self.hand_in(now, message)),
-                Input::Call(news) => self.call_end(now, news),
+                Input::CallUpdate(news) => self.call_end(now, news),
                 Input::List(list) => {
                     self.word_by = None;
                     self.list(now, &list);
                 }
-                Input::Noticed(batch) => self.noticed(batch),
+                Input::NoticesAcknowledged(batch) => self.noticed(batch),
                 #[cfg(feature = "senders")]
                 Input::Senders(n) => self.balancer.on_event(now, Event::Senders(n), &mut self.actions),
-                Input::Close => {}
+                Input::Shutdown => {}
             }
         }
         self.word_by = self.word_by.filter(|by| now < *by);
@@ -320,8 +320,8 @@
         }
         self.commit(now, fresh, sends);
         self.pass_on_notices();
-        self.room.settle(self.messages.len());
-        self.transport.sweep();
+        self.capacity.settle(self.messages.len());
+        self.transport.prune_idle();
     }
 
     /// Tells the other engines what came in to this one, and the module which part of each share is its own now.
@@ -332,10 +332,11 @@
             return;
         }
         owners.told = Some(now);
-        owners.shares.tell(owners.shard, &owners.counts, span);
+        owners.quota_shares.report(owners.shard, &owners.counts, span);
         owners.counts.fill(0);
         let quotas = owners.quotas.iter().enumerate();
-        let quotas = quotas.map(|(owner, quota)| quota * owners.shares.part(owners.shard, owner)).collect();
+        let quotas =
+            quotas.map(|(owner, quota)| quota * owners.quota_shares.fraction(owners.shard, owner)).collect();
         self.balancer.on_event(now, Event::Quotas(quotas), &mut self.actions);
     }
 
--- a/crates/engine/src/engine/notices.rs
+++ b/crates/engine/src/engine/notices.rs
@@ -15,10 +15,10 @@
     }
 
     pub(super) fn noticed(&mut self, batch: Vec<Notice>) {
-        let unix = unix_now();
-        for Notice { message, end } in batch {
-            let until = self.journal.end_of(&message).map_or(0, |(_, until)| until);
-            self.journal.enqueue(&Record::Closed(message, end.into(), until), unix);
+        let unix = unix_now_ms();
+        for Notice { message_id, end } in batch {
+            let until = self.journal.end_of(&message_id).map_or(0, |(_, until)| until);
+            self.journal.enqueue(&Record::Closed(message_id, end.into(), until), unix);
         }
     }
 }
--- a/crates/engine/src/gate.rs
+++ b/crates/engine/src/gate.rs
@@ -15,23 +15,23 @@
     /// # Errors
     ///
     /// It is to be held back.
-    fn begin(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
-        let _ = (dest, further, again);
+    fn admit_call(&self, dest: DestId, is_retry: bool, was_delayed: bool) -> Result<(), Duration> {
+        let _ = (dest, is_retry, was_delayed);
         Ok(())
     }
     /// New messages may be taken on.
-    fn may_take_on(&self) -> bool;
+    fn may_accept(&self) -> bool;
     /// Clients may be told that it is ready.
     fn is_ready(&self) -> bool;
     /// A call to a destination has ended, so long after its first byte or after a connection was tried.
-    fn ended(&self, dest: DestId, took: Duration, how: CallWent) {
-        let _ = (dest, took, how);
+    fn call_ended(&self, dest: DestId, elapsed: Duration, result: CallResult) {
+        let _ = (dest, elapsed, result);
     }
 }
 
 /// How a call went, as far as it says anything of its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallWent {
+pub enum CallResult {
     /// It was served.
     Served,
     /// It was refused, and told to wait for so long.
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -1,6 +1,6 @@
 //! What happens to the engine.
 
-use crate::call::CallEnd;
+use crate::call::CallUpdate;
 use crate::list::EndpointList;
 use crate::message::{Notice, Submission};
 
@@ -10,14 +10,14 @@
     /// A client hands in a message.
     Submission(Submission),
     /// Attempts ended.
-    Call(CallEnd),
+    CallUpdate(CallUpdate),
     /// The list of endpoints, or changes in it.
     List(EndpointList),
     /// These notices have been acknowledged.
-    Noticed(Vec<Notice>),
+    NoticesAcknowledged(Vec<Notice>),
     /// So many senders share from now on what is told for all of them.
     #[cfg(feature = "senders")]
     Senders(usize),
     /// The process is to end.
-    Close,
+    Shutdown,
 }
--- a/crates/engine/src/list.rs
+++ b/crates/engine/src/list.rs
@@ -7,17 +7,19 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
     /// Its version.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub version: u64,
     /// Whether this is the whole list: what is missing is gone.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub is_full: bool,
     /// Its lines.
     #[serde(rename = "targets")]
-    pub lines: Vec<EndpointLine>,
+    pub endpoints: Vec<EndpointInfo>,
 }
 
 /// What the list says of one endpoint.
 #[derive(Clone, Debug, Deserialize)]
-pub struct EndpointLine {
+pub struct EndpointInfo {
     /// The same at every forwarder, also after a restart of the endpoint.
     pub uid: String,
     /// Its address, as this forwarder sees it.
@@ -33,10 +35,10 @@
     #[serde(rename = "pod_group")]
     pub dest: u64,
     /// Where it stands.
-    pub state: State,
+    pub state: EndpointState,
     /// When it last started (Unix ms); 0 for long ago.
     #[serde(rename = "boot_ms", default)]
-    pub started: u64,
+    pub started_ms: u64,
     /// The weight that the list gives it.
     #[serde(rename = "capacity_hint", default = "one")]
     pub weight: f64,
@@ -49,7 +51,7 @@
 /// Where an endpoint stands.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum EndpointState {
     /// May be called.
     InService,
     /// Finishes what it has and wants nothing new.
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -45,7 +45,8 @@
 #[derive(Clone, Debug, Serialize, PartialEq, Eq)]
 pub struct Notice {
     /// The message's id.
-    pub message: String,
+    #[serde(rename = "message")]
+    pub message_id: String,
     /// How it ended.
     #[serde(flatten)]
     pub end: NoticeEnd,
--- a/crates/engine/src/quota_shares.rs
+++ b/crates/engine/src/quota_shares.rs
@@ -6,17 +6,17 @@
 
 /// What came in to each shard in its last span (messages in 1,000 s), by owner.
 #[derive(Debug)]
-pub struct Shares(Vec<Vec<AtomicU64>>);
+pub struct QuotaShares(Vec<Vec<AtomicU64>>);
 
-impl Shares {
+impl QuotaShares {
     /// For so many shards and owners.
     pub fn new(shards: usize, owners: usize) -> Self {
-        Shares((0..shards).map(|_| (0..owners).map(|_| AtomicU64::new(0)).collect()).collect())
+        QuotaShares((0..shards).map(|_| (0..owners).map(|_| AtomicU64::new(0)).collect()).collect())
     }
 
     /// A shard tells what came in to it since it last did (messages, by owner), which was so long ago. One that has
     /// little to do tells less often.
-    pub fn tell(&self, shard: usize, counts: &[u64], span: Micros) {
+    pub fn report(&self, shard: usize, counts: &[u64], span: Micros) {
         let span = u64::try_from(span).unwrap_or(0).max(1);
         for (cell, count) in self.0.get(shard).into_iter().flatten().zip(counts) {
             cell.store(count.saturating_mul(1_000_000_000) / span, Ordering::Relaxed);
@@ -27,13 +27,13 @@
     /// to which nothing came has a little; the parts of all shards sum up to the whole.
     ///
     /// ```
-    /// use yarrowhill_engine::Shares;
-    /// let shares = Shares::new(2, 1);
-    /// assert_eq!(shares.part(0, 0), 0.5);
-    /// shares.tell(0, &[98], 1_000_000);
-    /// assert_eq!(shares.part(0, 0), 0.99);
+    /// use yarrowhill_engine::QuotaShares;
+    /// let shares = QuotaShares::new(2, 1);
+    /// assert_eq!(shares.fraction(0, 0), 0.5);
+    /// shares.report(0, &[98], 1_000_000);
+    /// assert_eq!(shares.fraction(0, 0), 0.99);
     /// ```
-    pub fn part(&self, shard: usize, owner: usize) -> f64 {
+    pub fn fraction(&self, shard: usize, owner: usize) -> f64 {
         let count = |cells: &Vec<AtomicU64>| {
             cells.get(owner).map_or(1000.0, |cell| cell.load(Ordering::Relaxed) as f64 + 1000.0)
         };
@@ -54,9 +54,9 @@
         fn parts_sum_up_to_the_whole(
             told in proptest::collection::vec((0..100_000u64, 1_000..2_000_000i64), 1..6)
         ) {
-            let shares = Shares::new(told.len(), 1);
-            told.iter().enumerate().for_each(|(n, (count, span))| shares.tell(n, &[*count], *span));
-            let parts: Vec<f64> = (0..told.len()).map(|n| shares.part(n, 0)).collect();
+            let shares = QuotaShares::new(told.len(), 1);
+            told.iter().enumerate().for_each(|(n, (count, span))| shares.report(n, &[*count], *span));
+            let parts: Vec<f64> = (0..told.len()).map(|n| shares.fraction(n, 0)).collect();
             prop_assert!((parts.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{:?}", parts);
             let rate = |n: usize| told[n].0 as f64 / told[n].1 as f64;
             for n in 1..told.len() {
--- a/crates/engine/src/run.rs
+++ b/crates/engine/src/run.rs
@@ -27,58 +27,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// It serves.
-    Open,
+    Serving,
     /// Each answer is the last on its connection.
     Closing,
     /// Nothing new is read.
-    Shut,
+    Closed,
 }
 
-/// Takes turns until the process is to end, and `front` with it. Turns are at least a round apart, as in the
+/// Takes turns until the process is to end, and `server` with it. Turns are at least a interval apart, as in the
 /// simulator.
 pub async fn run<T: Transport>(
     mut engine: Engine<T>,
     mut inputs: Receiver<Input>,
     phase: watch::Sender<Phase>,
-    front: JoinHandle<()>,
+    server: JoinHandle<()>,
 ) {
-    let round = engine.round();
+    let interval = engine.min_turn_interval();
     let mut last = Instant::now();
     let mut closing: Option<Instant> = None;
     loop {
         let mut batch = Vec::new();
         let latest = Instant::now() + if closing.is_some() { CLOSING_STEP } else { LONGEST };
-        let due = engine.next_turn(latest).max(last + round);
+        let due = engine.next_turn(latest).max(last + interval);
         tokio::select! {
             Some(input) = inputs.recv() => batch.push(input),
             () = sleep_until(due) => {}
         }
-        sleep_until(last + round).await;
+        sleep_until(last + interval).await;
         if due.elapsed() > STOPPED {
             // What came meanwhile may be a drain or a wait: it is read before anything is decided.
-            sleep(round).await;
+            sleep(interval).await;
         }
         while let Ok(input) = inputs.try_recv() {
             batch.push(input);
         }
-        if batch.iter().any(|input| matches!(input, Input::Close)) {
+        if batch.iter().any(|input| matches!(input, Input::Shutdown)) {
             closing.get_or_insert_with(Instant::now);
         }
         last = Instant::now();
-        engine.turn(batch, closing.is_none_or(|since| since.elapsed() < START_CALLS));
+        engine.run_turn(batch, closing.is_none_or(|since| since.elapsed() < START_CALLS));
         let Some(since) = closing else { continue };
         let age = since.elapsed();
-        let idle =
-            age >= SERVE && engine.in_flight() == 0 && (age >= START_CALLS || engine.open_messages() == 0);
-        let now = if idle || age >= LAST_ANSWERS { Phase::Shut } else { Phase::Closing };
+        let idle = age >= SERVE
+            && engine.attempts_in_flight() == 0
+            && (age >= START_CALLS || engine.open_messages() == 0);
+        let now = if idle || age >= LAST_ANSWERS { Phase::Closed } else { Phase::Closing };
         phase.send_if_modified(|p| {
             *p < now && {
                 *p = now;
                 true
             }
         });
-        if age > EXIT || (front.is_finished() && engine.is_settled()) {
-            front.abort();
+        if age > EXIT || (server.is_finished() && engine.is_flushed()) {
+            server.abort();
             return;
         }
     }
--- a/crates/engine/src/shards.rs
+++ b/crates/engine/src/shards.rs
@@ -27,22 +27,23 @@
 
 /// The lines of a list that are a shard's. The list's version and form stay.
 pub fn shard_list(list: &EndpointList, shard: usize, shards: usize) -> EndpointList {
-    let lines = list.lines.iter().filter(|line| shard_of(line.dest, shards) == shard).cloned().collect();
-    EndpointList { rev: list.rev, all: list.all, lines }
+    let endpoints =
+        list.endpoints.iter().filter(|endpoint| shard_of(endpoint.dest, shards) == shard).cloned().collect();
+    EndpointList { version: list.version, is_full: list.is_full, endpoints }
 }
 
 /// The ways in to all engines of a process.
 #[derive(Clone, Debug)]
-pub struct Engines(Vec<Sender<Input>>);
+pub struct EngineSenders(Vec<Sender<Input>>);
 
-impl Engines {
+impl EngineSenders {
     /// One way in for each shard, in their order.
     pub fn new(shards: Vec<Sender<Input>>) -> Self {
-        Engines(shards)
+        EngineSenders(shards)
     }
 
     /// The engine of a destination; none where there is no engine at all.
-    pub fn of(&self, dest: u64) -> Option<&Sender<Input>> {
+    pub fn for_dest(&self, dest: u64) -> Option<&Sender<Input>> {
         self.0.get(shard_of(dest, self.0.len()))
     }
 
@@ -52,14 +53,14 @@
     }
 }
 
-impl From<Sender<Input>> for Engines {
+impl From<Sender<Input>> for EngineSenders {
     fn from(one: Sender<Input>) -> Self {
-        Engines(vec![one])
+        EngineSenders(vec![one])
     }
 }
 
 /// Passes on what comes for all engines: of a list, each gets the lines that are its own.
-pub async fn fan_out(mut inputs: Receiver<Input>, engines: Engines) {
+pub async fn distribute_lists(mut inputs: Receiver<Input>, engines: EngineSenders) {
     let shards = engines.all().len();
     while let Some(input) = inputs.recv().await {
         let Input::List(list) = input else { continue };
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -10,16 +10,16 @@
 ///
 /// A transport never sends a request twice by itself, and tells the end of every attempt of every call, once.
 pub trait Transport {
-    /// Makes a call and tells of its ends as [`Input::Call`].
-    fn start(&mut self, call: Call, results: Sender<Input>);
+    /// Makes a call and tells of its ends as [`Input::CallUpdate`].
+    fn start_call(&mut self, call: Call, results: Sender<Input>);
 
     /// From now on idle connections to an endpoint may be kept to this address, or none at all. Those to
     /// another address are closed.
-    fn endpoint(&mut self, endpoint: EndpointId, keep: Option<SocketAddr>);
+    fn set_endpoint_address(&mut self, endpoint: EndpointId, address: Option<SocketAddr>);
 
     /// Closes the idle connections to an endpoint.
     fn close_idle(&mut self, endpoint: EndpointId);
 
     /// Lets go of idle connections that are too old or broken; called once a turn.
-    fn sweep(&mut self);
+    fn prune_idle(&mut self);
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -12,8 +12,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use yarrowhill_engine::{
-    Answer, AttemptEnd, Call, CallEnd, Durability, EndpointList, Engine, Input, Notice, NoticeEnd, Options,
-    Submission, Transport,
+    Answer, AttemptEnd, Call, CallUpdate, Durability, EndpointList, Engine, Input, Notice, NoticeEnd,
+    Options, Submission, Transport,
 };
 use yarrowhill_policy::api::{EndpointId, Outcome};
 
@@ -22,15 +22,15 @@
 struct Kept(Arc<Mutex<Vec<Call>>>);
 
 impl Transport for Kept {
-    fn start(&mut self, call: Call, _: Sender<Input>) {
+    fn start_call(&mut self, call: Call, _: Sender<Input>) {
         self.0.lock().expect("no test panics with it").push(call);
     }
 
-    fn endpoint(&mut self, _: EndpointId, _: Option<SocketAddr>) {}
+    fn set_endpoint_address(&mut self, _: EndpointId, _: Option<SocketAddr>) {}
 
     fn close_idle(&mut self, _: EndpointId) {}
 
-    fn sweep(&mut self) {}
+    fn prune_idle(&mut self) {}
 }
 
 /// An engine with a folder that outlasts it.
@@ -62,10 +62,10 @@
         settings,
         names,
         seed: 1,
-        state: folder.into(),
-        journal_limit: limit,
+        state_dir: folder.into(),
+        max_journal_bytes: limit,
         durability: Durability::Process,
-        known: serde_json::from_value(known).expect("it is a list"),
+        initial_list: serde_json::from_value(known).expect("it is a list"),
         shard: None,
     }
 }
@@ -92,11 +92,11 @@
         let options = options(&self.folder, self.limit);
         self.engine = Some(Engine::start(options, self.calls.clone(), notices, inputs).expect("it starts"));
         // Discovery's agent has nothing new to say: without its word nothing is sent at first.
-        self.turn(vec![Input::List(EndpointList { rev: 1, all: false, lines: Vec::new() })]);
+        self.turn(vec![Input::List(EndpointList { version: 1, is_full: false, endpoints: Vec::new() })]);
     }
 
     fn turn(&mut self, batch: Vec<Input>) {
-        self.engine.as_mut().expect("it runs").turn(batch, true);
+        self.engine.as_mut().expect("it runs").run_turn(batch, true);
     }
 
     fn hand_in(&mut self, id: &str, class: usize, left: Duration) -> (Input, oneshot::Receiver<Answer>) {
@@ -134,7 +134,7 @@
             report: None,
             wait: None,
         };
-        Input::Call(CallEnd { endpoint: call.endpoint, ended: call.items.iter().map(end).collect() })
+        Input::CallUpdate(CallUpdate { endpoint: call.endpoint, ended: call.items.iter().map(end).collect() })
     }
 
     /// Notices that have gone out, unacknowledged.
@@ -161,7 +161,7 @@
     let mut rig = Rig::new(ROOM);
     assert_eq!(rig.take("m", 0, LONG), Some(Answer::Accepted));
     let calls = rig.calls();
-    assert_eq!(calls[0].items[0].name, "m");
+    assert_eq!(calls[0].items[0].message_id, "m");
     let text = rig.journal();
     assert!(text.contains("\"Taken\"") && text.contains("\"Sent\":[\"m\",0,"), "{text}");
 }
@@ -184,7 +184,7 @@
     let calls = rig.calls();
     assert_eq!((calls.len(), calls[0].items.len()), (1, 3));
     let latest = Instant::now() + short;
-    assert!(calls[0].items.iter().all(|item| item.until <= latest));
+    assert!(calls[0].items.iter().all(|item| item.deadline <= latest));
 }
 
 #[test]
@@ -195,7 +195,7 @@
     rig.turn(vec![Rig::end(&call, Outcome::Reset)]);
     // Its end is on record in the next turn, and only then the notice goes out.
     rig.turn(Vec::new());
-    let told = vec![Notice { message: "m".into(), end: NoticeEnd::GivenUp }];
+    let told = vec![Notice { message_id: "m".into(), end: NoticeEnd::GivenUp }];
     assert_eq!(rig.noticed(), told);
     for _ in 0..2 {
         rig.restart();
@@ -203,7 +203,7 @@
         assert_eq!(rig.noticed(), told);
         assert!(rig.calls().is_empty());
     }
-    rig.turn(vec![Input::Noticed(told)]);
+    rig.turn(vec![Input::NoticesAcknowledged(told)]);
     rig.turn(Vec::new());
     rig.restart();
     rig.turn(Vec::new());
@@ -318,9 +318,9 @@
                     let call = out.remove(0);
                     for item in &call.items {
                         match outcome {
-                            Outcome::Delivered => drop(delivered.insert(item.name.clone())),
+                            Outcome::Delivered => drop(delivered.insert(item.message_id.clone())),
                             Outcome::ConnectFailed => {}
-                            _ => drop(may_have_run.insert(item.name.clone())),
+                            _ => drop(may_have_run.insert(item.message_id.clone())),
                         }
                     }
                     rig.turn(vec![Rig::end(&call, outcome)]);
@@ -328,20 +328,20 @@
                 Step::Acknowledge => {
                     let notices = rig.noticed();
                     for notice in &notices {
-                        prop_assert!(!delivered.contains(&notice.message), "{notice:?}");
-                        if taken[&notice.message] == 1 && may_have_run.contains(&notice.message) {
+                        prop_assert!(!delivered.contains(&notice.message_id), "{notice:?}");
+                        if taken[&notice.message_id] == 1 && may_have_run.contains(&notice.message_id) {
                             prop_assert_eq!(notice.end, NoticeEnd::GivenUp);
                         }
-                        told.insert(notice.message.clone());
+                        told.insert(notice.message_id.clone());
                     }
                     if !notices.is_empty() {
-                        rig.turn(vec![Input::Noticed(notices)]);
+                        rig.turn(vec![Input::NoticesAcknowledged(notices)]);
                     }
                 }
                 Step::Restart => {
                     // A call that was out when the process died may have run.
                     for item in out.drain(..).flat_map(|call| call.items) {
-                        may_have_run.insert(item.name);
+                        may_have_run.insert(item.message_id);
                     }
                     rig.restart();
                 }
@@ -349,9 +349,9 @@
             }
             for call in rig.calls() {
                 for item in &call.items {
-                    let unsafe_class = taken.get(&item.name).is_none_or(|class| *class == 1);
-                    prop_assert!(!unsafe_class || !may_have_run.contains(&item.name), "{} again", item.name);
-                    prop_assert!(!delivered.contains(&item.name) && !told.contains(&item.name), "{}", item.name);
+                    let unsafe_class = taken.get(&item.message_id).is_none_or(|class| *class == 1);
+                    prop_assert!(!unsafe_class || !may_have_run.contains(&item.message_id), "{} again", item.message_id);
+                    prop_assert!(!delivered.contains(&item.message_id) && !told.contains(&item.message_id), "{}", item.message_id);
                 }
                 out.push(call);
             }
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -109,7 +109,7 @@
             }
         }
     });
-    let (phase, phases) = watch::channel(Phase::Open);
+    let (phase, phases) = watch::channel(Phase::Serving);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let to = listener.local_addr()?;
     let intake = Arc::new(Intake::new(names, settings, inputs, phases, 1024));
@@ -145,7 +145,7 @@
         }
     });
     let mut pool = Pool::new(4, Duration::from_secs(5));
-    pool.endpoint(1, Some(to));
+    pool.set_endpoint_address(1, Some(to));
     let (results, mut ends) = mpsc::channel(64);
     for round in 0..2u64 {
         let items = 1 + (number + round) % 3;
@@ -154,12 +154,12 @@
         let item = |n| Item {
             id: n,
             attempt: 0,
-            name: format!("m{n}"),
+            message_id: format!("m{n}"),
             key: None,
             body: "body".into(),
-            until,
+            deadline: until,
             begin_by: until,
-            further: false,
+            is_retry: false,
         };
         let items: Vec<Item> = (0..items).map(item).collect();
         let mut left = items.len();
@@ -167,18 +167,18 @@
         let call = Call {
             endpoint: 1,
             dest: 10,
-            to,
-            decided: Instant::now(),
+            address: to,
+            decided_at: Instant::now(),
             items,
-            second_copies: true,
+            may_overlap_attempts: true,
             connect_timeout,
-            elsewhere: false,
-            orders,
+            has_alternative: false,
+            commands: orders,
         };
-        pool.start(call, results.clone());
+        pool.start_call(call, results.clone());
         while left > 0 {
             let end = timeout(SOON, ends.recv()).await.expect("every attempt ends").expect("it is open");
-            if let Input::Call(end) = end {
+            if let Input::CallUpdate(end) = end {
                 left = left.checked_sub(end.ended.len()).expect("no attempt ends twice");
             }
         }
--- a/crates/http/src/calls.rs
+++ b/crates/http/src/calls.rs
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 #[cfg(feature = "gate")]
-use yarrowhill_engine::CallWent;
-use yarrowhill_engine::{AttemptEnd, Call, CallEnd, Input, Item, Order};
+use yarrowhill_engine::CallResult;
+use yarrowhill_engine::{AttemptEnd, Call, CallCommand, CallUpdate, Input, Item};
 use yarrowhill_policy::api::{LimitReport, MessageId, Micros, Outcome};
-use yarrowhill_settings::read_report;
+use yarrowhill_settings::parse_limit_report;
 
 /// Longest that a call is held back with a slot and a connection before it goes back to the module.
 #[cfg(feature = "gate")]
@@ -73,11 +73,11 @@
             return pending.tell().await;
         }
         let stopped = if kept {
-            pending.call.decided.elapsed() > STOPPED
+            pending.call.decided_at.elapsed() > STOPPED
         } else {
             let limit = pending.call.connect_timeout;
-            let late = if pending.call.elsewhere { limit / LATE_PART } else { limit };
-            let mut opening = Box::pin(unstopped(Connection::open(pending.call.to, limit)));
+            let late = if pending.call.has_alternative { limit / LATE_PART } else { limit };
+            let mut opening = Box::pin(unstopped(Connection::open(pending.call.address, limit)));
             let up = timeout(late, opening.as_mut());
             match pending.during(up, Stage::Connecting).await {
                 Some(Ok((Ok(open), stopped))) => {
@@ -105,7 +105,7 @@
         pending.expire(Stage::Connecting, Instant::now());
         pending.heed();
         // The last look before a byte leaves: the process may have been stopped since this was decided.
-        let request = request(&pending.waiting, pending.call.to).filter(|_| gate.may_send());
+        let request = request(&pending.waiting, pending.call.address).filter(|_| gate.may_send());
         let (Some(request), Some(open)) = (request, &mut connection) else {
             // Whatever happens, the module hears of each attempt: one that never ends holds its slot for ever.
             pending.part(Outcome::NotSent, |_| true);
@@ -114,7 +114,7 @@
         };
         tracing::debug!(
             endpoint = pending.call.endpoint,
-            first = pending.waiting.first().map(|i| &*i.name),
+            first = pending.waiting.first().map(|i| &*i.message_id),
             kept,
             "written"
         );
@@ -222,11 +222,11 @@
                         self.part(Outcome::Cancelled, |i| (i.id, i.attempt) == (id, attempt));
                     }
                 }
-                Some(order) = self.call.orders.recv() => self.obey(order, stage),
+                Some(order) = self.call.commands.recv() => self.obey(order, stage),
             }
             // Guards the rule on second copies where none is allowed: the module may send an attempt that ended
             // at once again, while this call still counts as out for its message.
-            if !self.call.second_copies
+            if !self.call.may_overlap_attempts
                 && stage == Stage::Written
                 && let Some(outcome) = self.given_up.first().map(|end| end.outcome)
             {
@@ -256,16 +256,18 @@
         answer
     }
 
-    fn obey(&mut self, order: Order, stage: Stage) {
+    fn obey(&mut self, order: CallCommand, stage: Stage) {
         match order {
-            Order::Cancel(id, attempt) if stage == Stage::Written && Instant::now() < self.heard_out => {
+            CallCommand::Cancel(id, attempt)
+                if stage == Stage::Written && Instant::now() < self.heard_out =>
+            {
                 self.cancelled.push((id, attempt));
             }
-            Order::Cancel(id, attempt) => {
+            CallCommand::Cancel(id, attempt) => {
                 let outcome = if stage == Stage::Written { Outcome::Cancelled } else { Outcome::NotSent };
                 self.part(outcome, |i| (i.id, i.attempt) == (id, attempt));
             }
-            Order::Hold => {
+            CallCommand::Defer => {
                 self.held = true;
                 self.stay(stage);
             }
@@ -282,7 +284,7 @@
 
     /// Obeys what has been ordered by now, before anything is written.
     fn heed(&mut self) {
-        while let Ok(order) = self.call.orders.try_recv() {
+        while let Ok(order) = self.call.commands.try_recv() {
             self.obey(order, Stage::Connecting);
         }
         // Ordered while the call was thought to be written, and its first byte never left.
@@ -295,7 +297,7 @@
     async fn admit(&mut self, gate: &Gated) {
         let since = Instant::now();
         let mut again = false;
-        let further = self.waiting.iter().all(|item| item.further);
+        let further = self.waiting.iter().all(|item| item.is_retry);
         while let Err(wait) = gate.begin(self.call.dest, further, again) {
             again = true;
             if since.elapsed() >= HELD_MOST {
@@ -340,14 +342,15 @@
             return;
         }
         // The engine is gone only when the process ends.
-        let _ = self.results.send(Input::Call(CallEnd { endpoint: self.call.endpoint, ended })).await;
+        let _ =
+            self.results.send(Input::CallUpdate(CallUpdate { endpoint: self.call.endpoint, ended })).await;
     }
 }
 
 impl Stage {
     /// When the wait for an attempt ends.
     fn ends(self, item: &Item) -> Instant {
-        if self == Stage::Written { item.until } else { item.until.min(item.begin_by) }
+        if self == Stage::Written { item.deadline } else { item.deadline.min(item.begin_by) }
     }
 }
 
@@ -357,20 +360,20 @@
 
 /// What a call's end says of its destination; nothing where it was cancelled.
 #[cfg(feature = "gate")]
-fn went(answer: &Option<Result<Answer, Silence>>, late: bool) -> Option<CallWent> {
+fn went(answer: &Option<Result<Answer, Silence>>, late: bool) -> Option<CallResult> {
     match answer {
-        Some(Ok(answer)) if answer.status == StatusCode::OK => Some(CallWent::Served),
+        Some(Ok(answer)) if answer.status == StatusCode::OK => Some(CallResult::Served),
         Some(Ok(Answer { wait: Some(wait), .. })) => {
-            Some(CallWent::Wait(Duration::from_micros(wait.unsigned_abs())))
+            Some(CallResult::Wait(Duration::from_micros(wait.unsigned_abs())))
         }
         Some(Ok(answer))
             if answer.status.is_server_error() && answer.status != StatusCode::SERVICE_UNAVAILABLE =>
         {
-            Some(CallWent::Failed)
+            Some(CallResult::Failed)
         }
-        Some(Ok(_)) => Some(CallWent::Refused),
-        Some(Err(_)) => Some(CallWent::Failed),
-        None => late.then_some(CallWent::Failed),
+        Some(Ok(_)) => Some(CallResult::Refused),
+        Some(Err(_)) => Some(CallResult::Failed),
+        None => late.then_some(CallResult::Failed),
     }
 }
 
@@ -390,7 +393,7 @@
         several => batch(several)?,
     };
     *request.method_mut() = Method::POST;
-    let wait = items.iter().map(|i| i.until).max()?.saturating_duration_since(Instant::now());
+    let wait = items.iter().map(|i| i.deadline).max()?.saturating_duration_since(Instant::now());
     let wait = HeaderValue::from(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX));
     request.headers_mut().insert("req-deadline-ms", wait);
     connection::set_host(&mut request, to);
@@ -400,7 +403,7 @@
 fn single(item: &Item) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::new(Full::new(item.body.clone()));
     *request.uri_mut() = Uri::from_static("/hook");
-    request.headers_mut().insert("req-id", HeaderValue::from_str(&item.name).ok()?);
+    request.headers_mut().insert("req-id", HeaderValue::from_str(&item.message_id).ok()?);
     if let Some(key) = &item.key {
         request.headers_mut().insert("idempotency-key", HeaderValue::from_str(key).ok()?);
     }
@@ -410,7 +413,7 @@
 fn batch(items: &[Item]) -> Option<Request<Full<Bytes>>> {
     let list: Vec<BatchItem> = items
         .iter()
-        .map(|i| BatchItem { id: &i.name, key: i.key.as_deref(), body: STANDARD.encode(&i.body) })
+        .map(|i| BatchItem { id: &i.message_id, key: i.key.as_deref(), body: STANDARD.encode(&i.body) })
         .collect();
     let text = serde_json::to_vec(&list).ok()?;
     let mut request = Request::new(Full::new(Bytes::from(text)));
@@ -507,7 +510,7 @@
 /// What can be read of a load report: one value that can't does not hide the others.
 fn report(values: &str) -> Option<LimitReport> {
     let pairs = values.split(',').filter_map(|pair| pair.trim().split_once('='));
-    read_report(pairs.filter(|(_, value)| value.parse().is_ok_and(f64::is_finite)))
+    parse_limit_report(pairs.filter(|(_, value)| value.parse().is_ok_and(f64::is_finite)))
 }
 
 #[derive(Deserialize)]
@@ -528,7 +531,7 @@
     };
     let ended = waiting.iter().map(|item| {
         let mut states = answer.states.iter().flatten();
-        let state = states.find(|s| s.id == item.name).map(|s| s.state.as_str());
+        let state = states.find(|s| s.id == item.message_id).map(|s| s.state.as_str());
         let (outcome, finished) = outcome(answer, state);
         // A wait binds beside every outcome: it may come with messages that were all accepted.
         AttemptEnd { finished, report: answer.report, wait: answer.wait, ..end(item, outcome) }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -66,7 +66,7 @@
     };
     tokio::select! {
         () = clients.accept(&listener, intake) => {}
-        _ = phase.wait_for(|p| *p == Phase::Shut) => {}
+        _ = phase.wait_for(|p| *p == Phase::Closed) => {}
     }
     loop {
         tokio::select! {
@@ -269,7 +269,7 @@
         tokio::select! {
             biased;
             _ = &mut served => true,
-            _ = phase.wait_for(|p| *p == Phase::Shut) => false,
+            _ = phase.wait_for(|p| *p == Phase::Closed) => false,
             () = using.give_way.notified() => false,
             () = using.rested() => false,
         }
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -83,8 +83,8 @@
         };
         match told {
             Ok(list) => {
-                tracing::debug!(rev = list.rev, all = list.all, lines = ?list.lines, "list");
-                refresh.answered(list.rev);
+                tracing::debug!(rev = list.version, all = list.is_full, lines = ?list.endpoints, "list");
+                refresh.answered(list.version);
                 if engine.send(Input::List(list)).await.is_err() {
                     return;
                 }
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use tokio::sync::{Semaphore, oneshot, watch};
 use tokio::time::timeout;
-use yarrowhill_engine::{Answer, Engines, Input, Phase, Submission};
+use yarrowhill_engine::{Answer, EngineSenders, Input, Phase, Submission};
 use yarrowhill_policy::api::{Effect, Settings};
-use yarrowhill_settings::{Names, index, wire_name};
+use yarrowhill_settings::{Names, index_of, normalize_name};
 
 /// Longest body.
 const BODY_MOST: usize = 64 << 10;
@@ -30,7 +30,7 @@
 pub struct Intake {
     names: Names,
     settings: Settings,
-    engines: Engines,
+    engines: EngineSenders,
     phase: watch::Receiver<Phase>,
     /// KiB that bodies may take until the engine has them.
     bodies: Semaphore,
@@ -51,7 +51,7 @@
     pub fn new(
         names: Names,
         settings: Settings,
-        engines: impl Into<Engines>,
+        engines: impl Into<EngineSenders>,
         phase: watch::Receiver<Phase>,
         bodies: usize,
     ) -> Self {
@@ -100,7 +100,7 @@
             return Err(StatusCode::NOT_FOUND);
         }
         let class = percent_decode_str(class).decode_utf8().map_err(|_| StatusCode::BAD_REQUEST)?;
-        let class = index(&self.names.classes, &wire_name(&class)).ok_or(StatusCode::BAD_REQUEST)?;
+        let class = index_of(&self.names.classes, &normalize_name(&class)).ok_or(StatusCode::BAD_REQUEST)?;
         let head = self.read_head(class, &parts.headers).ok_or(StatusCode::BAD_REQUEST)?;
         let Some(length) = body.size_hint().exact().filter(|length| *length <= BODY_MOST as u64) else {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -125,7 +125,7 @@
             answer,
         };
         // A full queue means that the engine is far behind: another try does no harm.
-        let engine = self.engines.of(message.dest);
+        let engine = self.engines.for_dest(message.dest);
         if engine.is_none_or(|engine| engine.try_send(Input::Submission(message)).is_err()) {
             return Ok(Answer::Refused(Some(AGAIN)));
         }
@@ -147,7 +147,7 @@
             None => return None,
             Some(owner) => {
                 let owner = str::from_utf8(owner.as_bytes()).ok()?.trim();
-                Some(index(&self.names.tenants, &wire_name(owner))?)
+                Some(index_of(&self.names.tenants, &normalize_name(owner))?)
             }
         };
         let key = Some(name("idempotency-key")?.to_owned()).filter(|k| !k.is_empty());
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -40,7 +40,7 @@
             }
             connection = None;
         }
-        if engine.send(Input::Noticed(batch)).await.is_err() {
+        if engine.send(Input::NoticesAcknowledged(batch)).await.is_err() {
             return;
         }
     }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::Instant;
 #[cfg(feature = "gate")]
-use yarrowhill_engine::CallWent;
+use yarrowhill_engine::CallResult;
 use yarrowhill_engine::{Call, Input, Transport};
 #[cfg(feature = "gate")]
 use yarrowhill_policy::api::DestId;
@@ -50,15 +50,15 @@
     }
 
     pub(crate) fn begin(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
-        self.gate.as_ref().map_or(Ok(()), |gate| gate.begin(dest, further, again))
+        self.gate.as_ref().map_or(Ok(()), |gate| gate.admit_call(dest, further, again))
     }
 
-    pub(crate) fn ended(&self, dest: DestId, took: Duration, how: CallWent) {
-        self.gate.iter().for_each(|gate| gate.ended(dest, took, how));
+    pub(crate) fn ended(&self, dest: DestId, took: Duration, how: CallResult) {
+        self.gate.iter().for_each(|gate| gate.call_ended(dest, took, how));
     }
 
     pub(crate) fn may_take_on(&self) -> bool {
-        self.gate.as_ref().is_none_or(|gate| gate.may_take_on())
+        self.gate.as_ref().is_none_or(|gate| gate.may_accept())
     }
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -176,14 +176,14 @@
 }
 
 impl Transport for Pool {
-    fn start(&mut self, call: Call, results: Sender<Input>) {
-        let (endpoint, to) = (call.endpoint, call.to);
+    fn start_call(&mut self, call: Call, results: Sender<Input>) {
+        let (endpoint, to) = (call.endpoint, call.address);
         let idle = self.lock().take(endpoint, to);
         let check_in = CheckIn { shared: self.shared.clone(), endpoint, to };
         tokio::spawn(calls::make(call, idle, results, self.gate.clone(), check_in));
     }
 
-    fn endpoint(&mut self, endpoint: EndpointId, keep: Option<SocketAddr>) {
+    fn set_endpoint_address(&mut self, endpoint: EndpointId, keep: Option<SocketAddr>) {
         let mut shared = self.lock();
         let known = shared.endpoints.get(&endpoint).map(|kept| kept.to);
         if known == keep {
@@ -202,7 +202,7 @@
         shared.idle -= closed;
     }
 
-    fn sweep(&mut self) {
+    fn prune_idle(&mut self) {
         let limit = self.idle_limit;
         let mut shared = self.lock();
         let mut idle = 0;
--- a/crates/http/tests/calls.rs
+++ b/crates/http/tests/calls.rs
@@ -7,45 +7,45 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
-use yarrowhill_engine::{Call, CallEnd, Input, Item, Transport};
+use yarrowhill_engine::{Call, CallUpdate, Input, Item, Transport};
 use yarrowhill_http::Pool;
 use yarrowhill_policy::api::Outcome;
 
 const SOON: Duration = Duration::from_millis(150);
 
 /// A call to this address, as most tests make it.
-fn call(to: SocketAddr, items: Vec<Item>, orders: mpsc::Receiver<yarrowhill_engine::Order>) -> Call {
+fn call(to: SocketAddr, items: Vec<Item>, orders: mpsc::Receiver<yarrowhill_engine::CallCommand>) -> Call {
     Call {
         endpoint: 1,
         dest: 10,
-        to,
-        decided: Instant::now(),
+        address: to,
+        decided_at: Instant::now(),
         items,
-        second_copies: true,
+        may_overlap_attempts: true,
         connect_timeout: Duration::from_secs(1),
-        elsewhere: false,
-        orders,
+        has_alternative: false,
+        commands: orders,
     }
 }
 
 /// Sends two messages in one call, the first with less time than the second, to an endpoint that never answers.
 /// Gives the first news of the call and the endpoint's side of the connection, read up to the request's end.
-async fn first_news(second_copies: bool) -> (CallEnd, TcpStream) {
+async fn first_news(second_copies: bool) -> (CallUpdate, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
     let (inputs, mut news) = mpsc::channel(8);
     let item = |id, left| item(id, Instant::now() + left, Instant::now() + left);
     let (_orders, orders) = mpsc::channel(3);
     let items = vec![item(1, SOON), item(2, SOON * 20)];
-    let call = Call { second_copies, ..call(to, items, orders) };
-    Pool::new(4, Duration::from_secs(5)).start(call, inputs);
+    let call = Call { may_overlap_attempts: second_copies, ..call(to, items, orders) };
+    Pool::new(4, Duration::from_secs(5)).start_call(call, inputs);
     let (mut stream, _) = listener.accept().await.expect("it calls");
     let mut text = Vec::new();
     while !text.ends_with(b"]") {
         stream.read_buf(&mut text).await.expect("it writes");
     }
     match timeout(SOON * 10, news.recv()).await.expect("its time is up") {
-        Some(Input::Call(end)) => (end, stream),
+        Some(Input::CallUpdate(end)) => (end, stream),
         other => panic!("{other:?}"),
     }
 }
@@ -73,10 +73,10 @@
     let (_orders, orders) = mpsc::channel(3);
     let now = Instant::now();
     let items = vec![item(1, now + SOON * 60, now + SOON), item(2, now + SOON * 60, now + SOON * 60)];
-    let call = Call { second_copies: false, connect_timeout: SOON * 50, ..call(to, items, orders) };
-    Pool::new(4, Duration::from_secs(5)).start(call, inputs);
+    let call = Call { may_overlap_attempts: false, connect_timeout: SOON * 50, ..call(to, items, orders) };
+    Pool::new(4, Duration::from_secs(5)).start_call(call, inputs);
     match timeout(SOON * 10, news.recv()).await.expect("its time is up") {
-        Some(Input::Call(end)) => assert_eq!(ended(&end), [(1, Outcome::NotSent)]),
+        Some(Input::CallUpdate(end)) => assert_eq!(ended(&end), [(1, Outcome::NotSent)]),
         other => panic!("{other:?}"),
     }
     for _ in 0..queued.len() {
@@ -93,7 +93,7 @@
     assert!(text.starts_with("POST /hook HTTP/1.1") && text.contains("m2"), "{text}");
 }
 
-fn ended(news: &CallEnd) -> Vec<(u64, Outcome)> {
+fn ended(news: &CallUpdate) -> Vec<(u64, Outcome)> {
     news.ended.iter().map(|e| (e.id, e.outcome)).collect()
 }
 
@@ -163,12 +163,12 @@
     Item {
         id,
         attempt: 0,
-        name: format!("m{id}"),
+        message_id: format!("m{id}"),
         key: None,
         body: "body".into(),
-        until,
+        deadline: until,
         begin_by,
-        further: false,
+        is_retry: false,
     }
 }
 
@@ -176,16 +176,16 @@
 async fn two_calls(behind: fn(&mut std::net::TcpStream)) -> (Vec<Outcome>, Vec<usize>) {
     let (to, calls) = endpoint(behind);
     let mut pool = Pool::new(4, Duration::from_secs(5));
-    pool.endpoint(1, Some(to));
+    pool.set_endpoint_address(1, Some(to));
     let (inputs, mut news) = mpsc::channel(8);
     let mut outcomes = Vec::new();
     for id in 0..2 {
         let (_orders, orders) = mpsc::channel(2);
         let until = Instant::now() + SOON * 20;
         let items = vec![item(id, until, until)];
-        pool.start(call(to, items, orders), inputs.clone());
+        pool.start_call(call(to, items, orders), inputs.clone());
         match timeout(SOON * 30, news.recv()).await.expect("it ends") {
-            Some(Input::Call(end)) => outcomes.extend(end.ended.iter().map(|e| e.outcome)),
+            Some(Input::CallUpdate(end)) => outcomes.extend(end.ended.iter().map(|e| e.outcome)),
             other => panic!("{other:?}"),
         }
         std::thread::sleep(SOON);
@@ -217,18 +217,18 @@
 fn call_to(
     to: SocketAddr,
     until: Instant,
-) -> (mpsc::Sender<yarrowhill_engine::Order>, mpsc::Receiver<Input>) {
+) -> (mpsc::Sender<yarrowhill_engine::CallCommand>, mpsc::Receiver<Input>) {
     let (inputs, news) = mpsc::channel(8);
     let (order, orders) = mpsc::channel(2);
     let items = vec![item(1, until, until)];
-    Pool::new(4, Duration::from_secs(5)).start(call(to, items, orders), inputs);
+    Pool::new(4, Duration::from_secs(5)).start_call(call(to, items, orders), inputs);
     (order, news)
 }
 
 /// A call with so much time that has been written, and the endpoint's side of it.
 async fn written(
     left: Duration,
-) -> (TcpStream, mpsc::Sender<yarrowhill_engine::Order>, mpsc::Receiver<Input>) {
+) -> (TcpStream, mpsc::Sender<yarrowhill_engine::CallCommand>, mpsc::Receiver<Input>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
     let (order, news) = call_to(to, Instant::now() + left);
@@ -237,9 +237,9 @@
     (stream, order, news)
 }
 
-async fn next(news: &mut mpsc::Receiver<Input>) -> CallEnd {
+async fn next(news: &mut mpsc::Receiver<Input>) -> CallUpdate {
     match timeout(SOON * 20, news.recv()).await.expect("it ends") {
-        Some(Input::Call(end)) => end,
+        Some(Input::CallUpdate(end)) => end,
         other => panic!("{other:?}"),
     }
 }
@@ -261,7 +261,7 @@
     let (mut stream, order, mut news) = written(SOON * 20).await;
     stream.write_all(b"HTTP/1.1 200 OK\r\n").await.expect("it reads");
     tokio::time::sleep(SOON).await;
-    order.send(yarrowhill_engine::Order::Cancel(1, 0)).await.expect("it is out");
+    order.send(yarrowhill_engine::CallCommand::Cancel(1, 0)).await.expect("it is out");
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::Delivered)]);
 }
 
@@ -271,7 +271,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
     let (order, mut news) = call_to(to, Instant::now() + SOON * 20);
-    order.try_send(yarrowhill_engine::Order::Hold).expect("there is room");
+    order.try_send(yarrowhill_engine::CallCommand::Defer).expect("there is room");
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::NotSent)]);
     let connected = timeout(SOON, listener.accept()).await;
     if let Ok(Ok((mut stream, _))) = connected {
@@ -284,7 +284,7 @@
 #[tokio::test]
 async fn a_call_that_was_just_written_is_heard_out_before_it_is_cancelled() {
     let (mut stream, order, mut news) = written(SOON * 20).await;
-    order.send(yarrowhill_engine::Order::Cancel(1, 0)).await.expect("it is out");
+    order.send(yarrowhill_engine::CallCommand::Cancel(1, 0)).await.expect("it is out");
     assert!(timeout(SOON / 3, news.recv()).await.is_err(), "it was not heard out");
     let answer = b"HTTP/1.1 429 Busy\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n";
     stream.write_all(answer).await.expect("it reads");
@@ -297,7 +297,7 @@
 async fn a_call_that_is_heard_out_in_vain_is_cancelled() {
     let (_stream, order, mut news) = written(SOON * 20).await;
     let since = Instant::now();
-    order.send(yarrowhill_engine::Order::Cancel(1, 0)).await.expect("it is out");
+    order.send(yarrowhill_engine::CallCommand::Cancel(1, 0)).await.expect("it is out");
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::Cancelled)]);
     assert!(since.elapsed() < SOON * 3, "{:?}", since.elapsed());
 }
@@ -331,7 +331,7 @@
     let (stream, order, mut news) = written(SOON * 20).await;
     let endpoint = answers_at_the_end(stream, BUSY);
     tokio::time::sleep(SOON * 2).await;
-    order.send(yarrowhill_engine::Order::Cancel(1, 0)).await.expect("it is out");
+    order.send(yarrowhill_engine::CallCommand::Cancel(1, 0)).await.expect("it is out");
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::Full { wait: Some(700_000) })]);
     endpoint.join().expect("it answers");
 }
@@ -366,7 +366,7 @@
         let (_orders, orders) = mpsc::channel(3);
         let until = Instant::now() + SOON * 20;
         let items = vec![item(1, until, until), item(2, until, until)];
-        Pool::new(4, Duration::from_secs(5)).start(call(to, items, orders), inputs);
+        Pool::new(4, Duration::from_secs(5)).start_call(call(to, items, orders), inputs);
         let (mut stream, _) = listener.accept().await.expect("it calls");
         assert!(stream.read(&mut [0; 4096]).await.expect("it writes") > 0);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{cut}");
@@ -388,7 +388,7 @@
     let (_orders, orders) = mpsc::channel(3);
     let until = Instant::now() + SOON * 60;
     let call = Call { connect_timeout: SOON * 2, ..call(to, vec![item(1, until, until)], orders) };
-    Pool::new(4, Duration::from_secs(5)).start(call, inputs);
+    Pool::new(4, Duration::from_secs(5)).start_call(call, inputs);
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::ConnectFailed)]);
     for _ in 0..queued.len() {
         listener.accept().await.expect("one was queued");
@@ -406,15 +406,19 @@
     let (listener, queued) = jammed().await;
     let to = listener.local_addr().expect("it is bound");
     let mut pool = Pool::new(4, Duration::from_secs(5));
-    pool.endpoint(1, Some(to));
+    pool.set_endpoint_address(1, Some(to));
     let (inputs, mut news) = mpsc::channel(8);
     let until = Instant::now() + SOON * 60;
     let call = |id| {
         let (_, orders) = mpsc::channel(2);
-        Call { connect_timeout: SOON * 20, elsewhere: true, ..call(to, vec![item(id, until, until)], orders) }
+        Call {
+            connect_timeout: SOON * 20,
+            has_alternative: true,
+            ..call(to, vec![item(id, until, until)], orders)
+        }
     };
     let start = Instant::now();
-    pool.start(call(1), inputs.clone());
+    pool.start_call(call(1), inputs.clone());
     assert_eq!(ended(&next(&mut news).await), [(1, Outcome::ConnectFailed)]);
     assert!(start.elapsed() < SOON * 10, "{:?}", start.elapsed());
     for _ in 0..queued.len() {
@@ -423,7 +427,7 @@
     let (mut late, _) = timeout(SOON * 20, listener.accept()).await.expect("tried again").expect("it is up");
     // The program sees it as soon as the test does.
     tokio::time::sleep(SOON).await;
-    pool.start(call(2), inputs);
+    pool.start_call(call(2), inputs);
     let mut text = Vec::new();
     while !text.ends_with(b"body") {
         assert!(
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/closing.rs
@@ -31,7 +31,7 @@
     let settings = json!({"classes": [{"name": "order", "idempotency": "side_effect"}]});
     let (settings, names) = yarrowhill_settings::from_json(&settings).expect("they are well formed");
     let (engine, mut inputs) = mpsc::channel(8);
-    let (phase, seen) = watch::channel(Phase::Open);
+    let (phase, seen) = watch::channel(Phase::Serving);
     let intake = Arc::new(Intake::new(names, settings, engine, seen, 1024));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
@@ -163,7 +163,7 @@
     let mut world = world(8).await;
     let mut client = resting(&mut world, "first").await;
     client.write(&request("second"));
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     let (text, error) = client.rest().await;
     assert_eq!(error, None, "the connection was reset behind {text:?}");
     // What was there before the shutdown was read is served as the last one.
@@ -177,7 +177,7 @@
 async fn a_request_that_comes_after_the_end_of_sending_is_not_taken_on() {
     let mut world = world(8).await;
     let mut client = resting(&mut world, "first").await;
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     // The end is seen before the request is written.
     let (text, error) = client.rest().await;
     assert_eq!((text.as_str(), error), ("", None));
@@ -193,7 +193,7 @@
     // The server has no turn: all of them stand in the listener's queue, with their requests.
     let mut late: Vec<Client> = (0..5).map(|_| Client::connect(world.to)).collect();
     late.iter_mut().for_each(|client| client.write(&request("late")));
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     for client in &mut late {
         let (text, error) = client.rest().await;
         assert!(text.starts_with("HTTP/1.1 503 ") || text.starts_with("HTTP/1.1 202 "), "{text:?} {error:?}");
@@ -210,7 +210,7 @@
     client.write(head);
     // The half is read when another client's whole request is, which comes later.
     drop(resting(&mut world, "other").await);
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     sleep(Duration::from_millis(50)).await;
     client.write("ond\r\n");
     client.write(&rest.replace("POST /order HTTP/1.1\r\n", "").replace("Req-Id: second\r\n", ""));
@@ -229,7 +229,7 @@
     client.write("POST /order HTTP/1.1\r\nReq-Id: sec");
     drop(resting(&mut world, "other").await);
     let since = Instant::now();
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     let (text, error) = client.rest().await;
     assert_eq!((text.as_str(), error), ("", None));
     ended(world).await;
@@ -248,7 +248,7 @@
     assert_eq!((text.as_str(), error), ("", None));
     let mut late = resting(&mut world, "late").await;
     let since = Instant::now();
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     assert_eq!(late.rest().await, (String::new(), None));
     ended(world).await;
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
@@ -274,7 +274,7 @@
     let mut client = Client::connect(world.to);
     client.write(&request("m"));
     assert_eq!(world.taken.recv().await.as_deref(), Some("m"));
-    world.phase.send_replace(Phase::Shut);
+    world.phase.send_replace(Phase::Closed);
     // Another's end shows that the shutdown has been seen.
     assert!(Client::connect(world.to).rest().await.0.starts_with("HTTP/1.1 503 "));
     assert!(!world.served.is_finished());
--- a/crates/http/tests/intake.rs
+++ b/crates/http/tests/intake.rs
@@ -19,7 +19,7 @@
     let settings = json!({"classes": [{"name": "settle-order", "idempotency": "side_effect"}]});
     let (settings, names) = yarrowhill_settings::from_json(&settings).expect("they are well formed");
     let (engine, mut inputs) = mpsc::channel(8);
-    let (_phase, phase) = watch::channel(Phase::Open);
+    let (_phase, phase) = watch::channel(Phase::Serving);
     let intake = Arc::new(Intake::new(names, settings, engine, phase, 1024));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -3,12 +3,12 @@
 use yarrowhill_policy::api::Micros;
 
 /// Bound on times read from the wire, so that sums of a few of them cannot overflow.
-pub const TIME_BOUND: f64 = (1i64 << 55) as f64;
+pub const MAX_TIME_US: f64 = (1i64 << 55) as f64;
 
 /// A malformed line, or a setting that can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{}{field}: {what}", place(*line))]
-pub struct WireError {
+pub struct FieldError {
     line: u64,
     field: String,
     what: String,
@@ -29,13 +29,13 @@
 
 impl<'a> Fields<'a> {
     /// Reads `name=value` pairs set apart by spaces.
-    pub fn parse(line: u64, rest: &'a str) -> Result<Self, WireError> {
+    pub fn parse(line: u64, rest: &'a str) -> Result<Self, FieldError> {
         let mut pairs = Vec::new();
         for part in rest.split(' ').filter(|p| !p.is_empty()) {
             match part.split_once('=') {
                 Some(pair) => pairs.push(pair),
                 None => {
-                    return Err(WireError { line, field: part.into(), what: "expected name=value".into() });
+                    return Err(FieldError { line, field: part.into(), what: "expected name=value".into() });
                 }
             }
         }
@@ -43,8 +43,8 @@
     }
 
     /// The error that a field of this line is.
-    pub fn bad(&self, field: &str, what: impl Into<String>) -> WireError {
-        WireError { line: self.line, field: field.into(), what: what.into() }
+    pub fn error(&self, field: &str, what: impl Into<String>) -> FieldError {
+        FieldError { line: self.line, field: field.into(), what: what.into() }
     }
 
     /// The value of a field, if it is there.
@@ -53,40 +53,40 @@
     }
 
     /// The value of a field that must be there.
-    pub fn need(&self, name: &str) -> Result<&'a str, WireError> {
-        self.get(name).ok_or_else(|| self.bad(name, "missing"))
+    pub fn required(&self, name: &str) -> Result<&'a str, FieldError> {
+        self.get(name).ok_or_else(|| self.error(name, "missing"))
     }
 
-    fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, WireError> {
+    fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, FieldError> {
         self.get(name)
-            .map(|v| v.parse().map_err(|_| self.bad(name, format!("expected a number, found {v:?}"))))
+            .map(|v| v.parse().map_err(|_| self.error(name, format!("expected a number, found {v:?}"))))
             .transpose()
     }
 
     /// A whole number that must be there.
-    pub fn int(&self, name: &str) -> Result<u64, WireError> {
-        self.parsed(name)?.ok_or_else(|| self.bad(name, "missing"))
+    pub fn required_int(&self, name: &str) -> Result<u64, FieldError> {
+        self.parsed(name)?.ok_or_else(|| self.error(name, "missing"))
     }
 
     /// A finite number.
-    pub fn num(&self, name: &str) -> Result<Option<f64>, WireError> {
+    pub fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.parsed::<f64>(name)? {
-            Some(v) if !v.is_finite() => Err(self.bad(name, "expected a finite number")),
+            Some(v) if !v.is_finite() => Err(self.error(name, "expected a finite number")),
             v => Ok(v),
         }
     }
 
     /// A time: milliseconds on the wire, microseconds here, bounded so that sums cannot overflow.
-    pub fn time(&self, name: &str) -> Result<Option<Micros>, WireError> {
-        Ok(self.num(name)?.map(|ms| (ms * 1000.0).round().clamp(-TIME_BOUND, TIME_BOUND) as Micros))
+    pub fn time(&self, name: &str) -> Result<Option<Micros>, FieldError> {
+        Ok(self.number(name)?.map(|ms| (ms * 1000.0).round().clamp(-MAX_TIME_US, MAX_TIME_US) as Micros))
     }
 
     /// A bool; absent is false.
-    pub fn flag(&self, name: &str) -> Result<bool, WireError> {
+    pub fn flag(&self, name: &str) -> Result<bool, FieldError> {
         match self.get(name) {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(v) => Err(self.bad(name, format!("expected true or false, found {v:?}"))),
+            Some(v) => Err(self.error(name, format!("expected true or false, found {v:?}"))),
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,12 +5,12 @@
 //! let settings = serde_json::json!({"kinds": ["card-issuer"], "familyInfo": {"batchByKind": [20]}});
 //! let (settings, names) = yarrowhill_settings::from_json(&settings)?;
 //! assert_eq!((settings.kinds[0].max_batch, names.kinds[0].as_str()), (20, "card-issuer"));
-//! # Ok::<(), yarrowhill_settings::WireError>(())
+//! # Ok::<(), yarrowhill_settings::FieldError>(())
 //! ```
 
 mod fields;
 
-pub use fields::{Fields, TIME_BOUND, WireError};
+pub use fields::{FieldError, Fields, MAX_TIME_US};
 
 use serde_json::Value;
 use yarrowhill_policy::api::{
@@ -30,27 +30,27 @@
         self.fields.get(name).map(|v| v.split(',').filter(|s| !s.is_empty()).collect()).unwrap_or_default()
     }
 
-    fn nums(&self, name: &str) -> Result<Vec<f64>, WireError> {
+    fn nums(&self, name: &str) -> Result<Vec<f64>, FieldError> {
         self.list(name)
             .iter()
             .map(|v| v.parse::<f64>().ok().filter(|n| n.is_finite()))
             .collect::<Option<_>>()
-            .ok_or_else(|| self.fields.bad(name, "expected numbers set apart by commas"))
+            .ok_or_else(|| self.fields.error(name, "expected numbers set apart by commas"))
     }
 
-    fn time(&self, name: &str) -> Result<Micros, WireError> {
+    fn time(&self, name: &str) -> Result<Micros, FieldError> {
         Ok(self.fields.time(name)?.unwrap_or(0))
     }
 
-    fn count(&self, name: &str, absent: usize) -> Result<usize, WireError> {
-        match self.fields.num(name)? {
-            Some(v) if v < 0.0 => Err(self.fields.bad(name, format!("expected a count, found {v}"))),
+    fn count(&self, name: &str, absent: usize) -> Result<usize, FieldError> {
+        match self.fields.number(name)? {
+            Some(v) if v < 0.0 => Err(self.fields.error(name, format!("expected a count, found {v}"))),
             v => Ok(v.map_or(absent, |v| v as usize)),
         }
     }
 
-    fn num(&self, name: &str, absent: f64) -> Result<f64, WireError> {
-        Ok(self.fields.num(name)?.unwrap_or(absent))
+    fn num(&self, name: &str, absent: f64) -> Result<f64, FieldError> {
+        Ok(self.fields.number(name)?.unwrap_or(absent))
     }
 }
 
@@ -66,27 +66,27 @@
     /// Kinds of destination.
     pub kinds: Vec<String>,
     /// Fields of a load report, in the order of their values.
-    pub report: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
 /// A name as the settings have it: on the wire that they come from, spaces and commas set values apart.
-pub fn wire_name(name: &str) -> String {
+pub fn normalize_name(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
 
 /// The number that goes with a name.
-pub fn index(names: &[String], name: &str) -> Option<usize> {
+pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
 /// Reads settings given as path and value, wherever they come from.
-pub fn settings_from(pairs: &[(String, String)]) -> Result<(Settings, Names), WireError> {
+pub fn from_pairs(pairs: &[(String, String)]) -> Result<(Settings, Names), FieldError> {
     let pairs = pairs.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    read_settings(Fields { line: 0, pairs })
+    from_fields(Fields { line: 0, pairs })
 }
 
 /// Reads what a destination tells of its limit, value by name; `None` where a value is no number.
-pub fn read_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LimitReport> {
+pub fn parse_limit_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LimitReport> {
     let mut report = LimitReport { limit: None, remaining: None };
     for (name, value) in values {
         let v = value.parse::<f64>().ok().filter(|v| v.is_finite())?;
@@ -105,19 +105,19 @@
 }
 
 /// Reads the settings out of the fields of a line, or of [`flatten`]'s pairs.
-pub fn read_settings(fields: Fields) -> Result<(Settings, Names), WireError> {
+pub fn from_fields(fields: Fields) -> Result<(Settings, Names), FieldError> {
     let c = &Conf { fields };
     let mut names = Names {
         zones: owned(c.list("zones")),
         kinds: owned(c.list("kinds")),
-        report: owned(c.list("report.fields")),
+        report_fields: owned(c.list("report.fields")),
         ..Names::default()
     };
     let mut classes = Vec::new();
     for i in 0..c.count("classes.count", 0)? {
         let at = |key: &str| format!("classes.{i}.{key}");
         let kind = at("idempotency");
-        let effect = match c.fields.need(&kind)? {
+        let effect = match c.fields.required(&kind)? {
             "pure" => Effect::Safe,
             "side_effect" => Effect::Unsafe,
             "token" => {
@@ -126,17 +126,19 @@
                     Some("all") => false,
                     None | Some("zone" | "cell") => true,
                     Some(v) => {
-                        return Err(c.fields.bad(&scope, format!("expected all, zone or cell, found {v:?}")));
+                        return Err(c
+                            .fields
+                            .error(&scope, format!("expected all, zone or cell, found {v:?}")));
                     }
                 };
                 Effect::Keyed { life: c.time(&at("keyTtl"))?, per_zone }
             }
             v => {
                 let expected = format!("expected pure, token or side_effect, found {v:?}");
-                return Err(c.fields.bad(&kind, expected));
+                return Err(c.fields.error(&kind, expected));
             }
         };
-        names.classes.push(c.fields.need(&at("name"))?.to_owned());
+        names.classes.push(c.fields.required(&at("name"))?.to_owned());
         classes.push(Class {
             effect,
             target_latency: c.time(&at("goalTime"))?,
@@ -148,7 +150,7 @@
     }
     let mut tenants = Vec::new();
     for i in 0..c.count("realms.count", 0)? {
-        names.tenants.push(c.fields.need(&format!("realms.{i}.name"))?.to_owned());
+        names.tenants.push(c.fields.required(&format!("realms.{i}.name"))?.to_owned());
         tenants.push(Tenant { quota: c.num(&format!("realms.{i}.quotaRps"), f64::MAX)? });
     }
     let apart = c.list("familyInfo.kindApart");
@@ -170,10 +172,10 @@
             Some(v) => {
                 return Err(c
                     .fields
-                    .bad("familyInfo.decay", format!("expected line or halves, found {v:?}")));
+                    .error("familyInfo.decay", format!("expected line or halves, found {v:?}")));
             }
         },
-        zone: c.fields.get("zone").and_then(|z| index(&names.zones, z)).unwrap_or(usize::MAX),
+        zone: c.fields.get("zone").and_then(|z| index_of(&names.zones, z)).unwrap_or(usize::MAX),
         senders: c.count("peersTotal", 1)?,
         slots: c.count("familyInfo.slots", usize::MAX)?,
         max_held_messages: c.count("limits.openCap", usize::MAX)?,
@@ -186,7 +188,7 @@
         must_subscribe: match c.fields.get("discovery") {
             Some("ask") => true,
             None | Some("push") => false,
-            Some(v) => return Err(c.fields.bad("discovery", format!("expected push or ask, found {v:?}"))),
+            Some(v) => return Err(c.fields.error("discovery", format!("expected push or ask, found {v:?}"))),
         },
         weights: match c.fields.get("weights") {
             Some("nominal") => Weights::Nominal,
@@ -195,7 +197,7 @@
             None | Some("off" | "none" | "live") => Weights::Off,
             Some(v) => {
                 let expected = format!("expected off, nominal, rough or live, found {v:?}");
-                return Err(c.fields.bad("weights", expected));
+                return Err(c.fields.error("weights", expected));
             }
         },
         idle_timeout: c.time("limits.idleClose")?,
@@ -211,10 +213,10 @@
 }
 
 /// Reads settings given as nested JSON.
-pub fn from_json(settings: &Value) -> Result<(Settings, Names), WireError> {
+pub fn from_json(settings: &Value) -> Result<(Settings, Names), FieldError> {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
-    settings_from(&pairs)
+    from_pairs(&pairs)
 }
 
 /// Puts nested settings into the form that the simulator's wire gives them: path and value, plain lists
@@ -237,7 +239,7 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), wire_name)
+    value.as_str().map_or_else(|| value.to_string(), normalize_name)
 }
 
 #[cfg(test)]
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -17,7 +17,7 @@
     });
     let mut pairs = Vec::new();
     flatten("", &settings, &mut pairs);
-    let (read, names) = settings_from(&pairs).expect("it is well formed");
+    let (read, names) = from_pairs(&pairs).expect("it is well formed");
     assert_eq!(read.classes[0].effect, Effect::Keyed { life: 15_000_000, per_zone: false });
     assert_eq!((read.classes[0].target_latency, read.slots, read.zone), (3_000_000, 15, 1));
     assert_eq!(
--- a/crates/yarrowhill/src/config.rs
+++ b/crates/yarrowhill/src/config.rs
@@ -7,7 +7,7 @@
 use std::{env, fs, io};
 use yarrowhill_engine::{Durability, EndpointList};
 use yarrowhill_policy::api::Settings;
-use yarrowhill_settings::{Names, WireError, from_json};
+use yarrowhill_settings::{FieldError, Names, from_json};
 
 /// Why the forwarder cannot start.
 #[derive(Debug, thiserror::Error)]
@@ -37,7 +37,7 @@
     Nameless,
     /// A setting cannot be read.
     #[error("settings: {0}")]
-    Settings(WireError),
+    Settings(FieldError),
 }
 
 /// Shards that a process may have.
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -64,7 +64,7 @@
 /// no cost to anybody; only what has to be asked for is shared with the others.
 pub(crate) fn watcher(config: &Config) -> Watcher {
     let askers = config.settings.must_subscribe.then_some(config.settings.senders);
-    Watcher { rev: config.known.rev, askers, seed: config.seed }
+    Watcher { rev: config.known.version, askers, seed: config.seed }
 }
 
 /// Reads the file again at each SIGHUP and passes on discovery's address; all else that the file tells holds
@@ -112,10 +112,10 @@
         settings: config.settings.clone(),
         names: config.names.clone(),
         seed: config.seed,
-        state: config.state,
-        journal_limit: (config.limits.disk_mb * JOURNAL_PART) as u64,
+        state_dir: config.state,
+        max_journal_bytes: (config.limits.disk_mb * JOURNAL_PART) as u64,
         durability: config.durability,
-        known: config.known,
+        initial_list: config.known,
         shard: None,
     };
     let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
@@ -132,10 +132,10 @@
         terminate.recv().await;
         leaving.leave();
         // The engine is gone only when the process ends.
-        let _ = close.send(Input::Close).await;
+        let _ = close.send(Input::Shutdown).await;
     });
     let listener = TcpListener::bind(config.listen).await?;
-    let (phase, closing) = watch::channel(Phase::Open);
+    let (phase, closing) = watch::channel(Phase::Serving);
     let bodies = config.limits.memory_mb.max(1) * 1024 / BODIES;
     let intake = Intake::new(config.names, config.settings, inputs, closing, bodies);
     let intake = joined.guard_clients(intake);
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
-use yarrowhill_engine::{CallWent, Gate, Input};
+use yarrowhill_engine::{CallResult, Gate, Input};
 use yarrowhill_fleet::{
     CallOutcome, Document, Handle, Node, OperatorRequest, Options, SlowStart, read, serve,
 };
@@ -37,23 +37,23 @@
         self.handle.permits().send_calls
     }
 
-    fn begin(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
+    fn admit_call(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
         self.handle.begin(dest, further, again)
     }
 
-    fn ended(&self, dest: DestId, took: Duration, how: CallWent) {
+    fn call_ended(&self, dest: DestId, took: Duration, how: CallResult) {
         let how = match how {
             // A short wait comes from a limit that others use up, and would make all give way in step; a long one from a
             // shut door, which is one for all.
-            CallWent::Wait(wait) if wait >= self.shut => return self.handle.told_wait(dest, wait),
-            CallWent::Wait(_) | CallWent::Refused => CallOutcome::Refused,
-            CallWent::Served => CallOutcome::Served,
-            CallWent::Failed => CallOutcome::Failed,
+            CallResult::Wait(wait) if wait >= self.shut => return self.handle.told_wait(dest, wait),
+            CallResult::Wait(_) | CallResult::Refused => CallOutcome::Refused,
+            CallResult::Served => CallOutcome::Served,
+            CallResult::Failed => CallOutcome::Failed,
         };
         self.handle.ended(dest, took, how);
     }
 
-    fn may_take_on(&self) -> bool {
+    fn may_accept(&self) -> bool {
         self.handle.permits().accept_messages
     }
 
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -14,8 +14,8 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinSet;
 use yarrowhill_engine::{
-    Engine, Engines, Input, JournalError, Options, Phase, RoomPool, Shard, Shares, fan_out, shard_list,
-    shard_of, shard_settings, unix_now,
+    CapacityPool, Engine, EngineSenders, Input, JournalError, Options, Phase, QuotaShares, Shard,
+    distribute_lists, shard_list, shard_of, shard_settings, unix_now_ms,
 };
 use yarrowhill_http::{Intake, Pool, discovery, notices};
 
@@ -45,17 +45,17 @@
     let Sockets { clients, idle } = Sockets::share(&config);
     let journal_limit = (config.limits.disk_mb * JOURNAL_PART) as u64 / shards as u64;
     let journal = yarrowhill_journal::Options { max_bytes: journal_limit, durability: config.durability };
-    let folders = yarrowhill_journal::prepare_segments(&config.state, shards, journal, unix_now(), |d| {
+    let folders = yarrowhill_journal::prepare_segments(&config.state, shards, journal, unix_now_ms(), |d| {
         shard_of(d, shards)
     })?;
     let (told, at) = watch::channel(config.discovery);
     let (all_served, served) = watch::channel(false);
-    let pool = RoomPool::new(config.settings.max_held_messages, shards);
-    let shares = Arc::new(Shares::new(shards, config.settings.tenants.len()));
+    let pool = CapacityPool::new(config.settings.max_held_messages, shards);
+    let shares = Arc::new(QuotaShares::new(shards, config.settings.tenants.len()));
     let (mut engines, mut phases, mut threads) = (Vec::new(), Vec::new(), JoinSet::new());
     for (number, state) in folders.into_iter().enumerate() {
         let (inputs, received) = mpsc::channel(INPUTS);
-        let (phase, shard_phase) = watch::channel(Phase::Open);
+        let (phase, shard_phase) = watch::channel(Phase::Serving);
         let (started, start) = oneshot::channel();
         engines.push(inputs.clone());
         phases.push(shard_phase);
@@ -72,13 +72,13 @@
         start.await.map_err(|_| RunError::Shard(number))??;
     }
     joined.tell_senders(&engines);
-    let engines = Engines::new(engines);
+    let engines = EngineSenders::new(engines);
     let (lists, listed) = mpsc::channel(INPUTS);
     tokio::spawn(discovery::watch(at, watcher, lists));
-    tokio::spawn(fan_out(listed, engines.clone()));
+    tokio::spawn(distribute_lists(listed, engines.clone()));
     tokio::spawn(reload(hangup, told, joined.clone()));
     let listener = TcpListener::bind(config.listen).await?;
-    let (phase, closing) = watch::channel(Phase::Open);
+    let (phase, closing) = watch::channel(Phase::Serving);
     let bodies = config.limits.memory_mb.max(1) * 1024 / BODIES;
     let intake = Intake::new(config.names, config.settings, engines.clone(), closing, bodies);
     let intake = joined.guard_clients(intake);
@@ -94,7 +94,7 @@
                 joined.leave();
                 for engine in engines.all() {
                     // An engine is gone only when the process ends.
-                    let _ = engine.send(Input::Close).await;
+                    let _ = engine.send(Input::Shutdown).await;
                 }
             }
             _ = &mut front, if !*all_served.borrow() => drop(all_served.send_replace(true)),
@@ -115,18 +115,18 @@
     number: usize,
     state: PathBuf,
     journal_limit: u64,
-    pool: &Arc<RoomPool>,
-    shares: &Arc<Shares>,
+    pool: &Arc<CapacityPool>,
+    shares: &Arc<QuotaShares>,
 ) -> Options {
     Options {
         settings: shard_settings(&config.settings, number, config.shards),
         names: config.names.clone(),
         seed: config.seed.wrapping_add(number as u64),
-        state,
-        journal_limit,
+        state_dir: state,
+        max_journal_bytes: journal_limit,
         durability: config.durability,
-        known: shard_list(&config.known, number, config.shards),
-        shard: Some(Shard { number, pool: pool.clone(), shares: shares.clone() }),
+        initial_list: shard_list(&config.known, number, config.shards),
+        shard: Some(Shard { index: number, capacity: pool.clone(), quota_shares: shares.clone() }),
     }
 }
 
@@ -162,7 +162,7 @@
     front: watch::Sender<Phase>,
 ) {
     while one.changed().await.is_ok() {
-        let least = all.iter().map(|phase| *phase.borrow()).min().unwrap_or(Phase::Shut);
+        let least = all.iter().map(|phase| *phase.borrow()).min().unwrap_or(Phase::Closed);
         front.send_if_modified(|phase| std::mem::replace(phase, least) != least);
     }
 }
