--- a/crates/bench/src/daemon.rs
+++ b/crates/bench/src/daemon.rs
@@ -13,7 +13,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
-use yarrowhill_standins::{Class, Discovery, Figures, Ledger, Line, Room, configuration, free_address};
+use yarrowhill_standins::{
+    Class, ConfigParams, Discovery, EndpointLine, Ledger, Resources, configuration, free_address,
+};
 
 /// Longest body that both forward.
 const BODY: usize = 200;
@@ -42,7 +44,7 @@
             let listen = free_address()?;
             let folder = std::env::temp_dir().join(format!("yarrowhill-bench-{}", std::process::id()));
             fs::create_dir_all(folder.join("state"))?;
-            let lines = [Line::new("s", endpoint, 7, "plain", 1e6)];
+            let lines = [EndpointLine::new("s", endpoint, 7, "plain", 1e6)];
             let discovery = Discovery::start(lines.to_vec(), Ledger::default()).await?;
             let config = configuration(&figures(), listen, discovery.addr, &lines).to_string();
             // The journal must not be what holds the messages up here.
@@ -71,15 +73,15 @@
     Ok(())
 }
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> ConfigParams {
+    ConfigParams {
         classes: vec![Class { name: "auth-notice", idempotency: "token", deadline_ms: 20_000 }],
-        key_life_ms: 15_000.0,
-        aim_ms: 3000.0,
+        key_ttl_ms: 15_000.0,
+        goal_time_ms: 3000.0,
         slots: 128,
         fail_back: [2.0, 3000.0, 0.17, 13_000.0],
         seed: 1,
-        room: Room::default(),
+        resources: Resources::default(),
     }
 }
 
--- a/crates/checker/src/accounts.rs
+++ b/crates/checker/src/accounts.rs
@@ -1,6 +1,6 @@
 //! What became of every message: taken on = delivered + given up + handed back + over + open.
 
-use crate::ledger::{CallEnd, Entry, Event, Heard};
+use crate::ledger::{CallEnd, ClientOutcome, Entry, Event};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The messages of one class.
@@ -39,8 +39,8 @@
                 class_of.insert(id, class);
                 continue;
             }
-            Event::Heard { id, answer: Heard::Status(200 | 202) } => (&mut taken, id),
-            Event::Heard { id, answer: Heard::Status(429 | 503) } => (&mut refused, id),
+            Event::ClientDone { id, outcome: ClientOutcome::Status(200 | 202) } => (&mut taken, id),
+            Event::ClientDone { id, outcome: ClientOutcome::Status(429 | 503) } => (&mut refused, id),
             Event::Notice { id, handed_back: true, acknowledged: true } => (&mut handed_back, id),
             Event::Notice { id, handed_back: false, acknowledged: true } => (&mut given_up, id),
             Event::Answered { ends, .. } => {
--- a/crates/checker/src/duties.rs
+++ b/crates/checker/src/duties.rs
@@ -7,9 +7,10 @@
 
 /// A process says that it holds a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holds {
+pub struct DutyClaim {
     /// Which process.
-    pub who: usize,
+    #[serde(rename = "who")]
+    pub process: usize,
     /// Its life, counted by the rig: a new start is another process.
     pub life: usize,
     /// Which duty.
@@ -18,7 +19,8 @@
     pub token: u64,
     /// When it looked, and until when it holds without a further word (microseconds of a clock that all processes of the
     /// machine share).
-    pub span: [u64; 2],
+    #[serde(rename = "span")]
+    pub valid_us: [u64; 2],
     /// Steps of progress so far.
     pub step: u64,
 }
@@ -31,17 +33,21 @@
     // By duty: each token with its process and the span over which it was claimed, as it goes on from claim to claim.
     let mut terms: BTreeMap<&str, BTreeMap<u64, Span>> = BTreeMap::new();
     for entry in ledger {
-        let FleetEvent::Holds(Holds { who, life, duty, token, span, .. }) = &entry.event else { continue };
+        let FleetEvent::DutyClaimed(DutyClaim { process: who, life, duty, token, valid_us: span, .. }) =
+            &entry.event
+        else {
+            continue;
+        };
         let [at, until] = *span;
         if until <= at {
             let what = format!("{who} claims {duty} under token {token}, and its lease is over");
-            breaches.push(FleetBreach { at: entry.at, what });
+            breaches.push(FleetBreach { at: entry.at, text: what });
             return;
         }
         let term = terms.entry(duty).or_default().entry(*token).or_insert((*who, *life, at, at, entry.at));
         if (term.0, term.1) != (*who, *life) {
             let what = format!("{duty} is held under token {token} by {} and by {who}", term.0);
-            breaches.push(FleetBreach { at: entry.at, what });
+            breaches.push(FleetBreach { at: entry.at, text: what });
             return;
         }
         // A token is of one term, which never resumes: it held from the first claim to the last.
@@ -57,7 +63,7 @@
                     "{duty} is held by {other} under token {next} before {who} under {token} is over: {} us too early",
                     end - begin
                 );
-                breaches.push(FleetBreach { at: *at, what });
+                breaches.push(FleetBreach { at: *at, text: what });
                 return;
             }
         }
@@ -65,7 +71,7 @@
     let held = terms.values().filter(|terms| terms.values().any(|(.., at)| *at >= last)).count();
     if held < duties {
         let what = format!("{held} of {duties} duties are held at the end");
-        breaches.push(FleetBreach { at: last, what });
+        breaches.push(FleetBreach { at: last, text: what });
     }
 }
 
@@ -74,7 +80,9 @@
     let mut last: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut gaps = Vec::new();
     for entry in ledger {
-        let FleetEvent::Holds(Holds { duty, token, span, .. }) = &entry.event else { continue };
+        let FleetEvent::DutyClaimed(DutyClaim { duty, token, valid_us: span, .. }) = &entry.event else {
+            continue;
+        };
         let at = span[0];
         match last.get(duty.as_str()) {
             Some((before, until)) if before != token => gaps.push(at.saturating_sub(*until) as f64 / 1000.0),
@@ -90,14 +98,15 @@
     use super::*;
 
     fn holds(who: usize, token: u64, at: u64) -> FleetEntry {
-        let claim = Holds { who, life: 0, duty: "a".into(), token, span: [at, at + 400], step: 0 };
-        FleetEntry { at: at as f64 / 1000.0, event: FleetEvent::Holds(claim) }
+        let claim =
+            DutyClaim { process: who, life: 0, duty: "a".into(), token, valid_us: [at, at + 400], step: 0 };
+        FleetEntry { at: at as f64 / 1000.0, event: FleetEvent::DutyClaimed(claim) }
     }
 
     fn found(ledger: &[FleetEntry], last: f64) -> Vec<String> {
         let mut breaches = Vec::new();
         duties(ledger, 1, last, &mut breaches);
-        breaches.into_iter().map(|b| b.what).collect()
+        breaches.into_iter().map(|b| b.text).collect()
     }
 
     #[test]
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -2,8 +2,8 @@
 //! between them, and what each said of itself and of the others. Shares no code with membership; the table of what a
 //! standing allows is written a second time here.
 
-use crate::duties::Holds;
-use crate::returns::Cold;
+use crate::duties::DutyClaim;
+use crate::returns::ColdStart;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,11 +23,14 @@
     /// A process was started,
     Started(usize),
     /// ended, by a signal that it sees or by one that it does not,
-    Ended(usize),
+    #[serde(rename = "Ended")]
+    Exited(usize),
     /// stopped,
-    Stopped(usize),
+    #[serde(rename = "Stopped")]
+    Paused(usize),
     /// or woken.
-    Woken(usize),
+    #[serde(rename = "Woken")]
+    Resumed(usize),
     /// A direction carries, or is cut.
     Link {
         /// From whom.
@@ -38,12 +41,15 @@
         open: bool,
     },
     /// Links carry worse, or as well as at first: while they carry worse, nobody is judged by its detector.
-    Weather {
+    #[serde(rename = "Weather")]
+    LinkQuality {
         /// Loss, delay, half-open connections.
-        rough: bool,
+        #[serde(rename = "rough")]
+        degraded: bool,
     },
     /// What a direction carried and lost.
-    Carried {
+    #[serde(rename = "Carried")]
+    Traffic {
         /// From whom.
         from: usize,
         /// To whom.
@@ -53,26 +59,33 @@
         /// that were lost,
         lost: u64,
         /// and connections.
-        streams: u64,
+        #[serde(rename = "streams")]
+        connections: u64,
     },
     /// The folder of a process takes no more, or does again.
     Disk {
         /// Whose.
-        who: usize,
+        #[serde(rename = "who")]
+        process: usize,
         /// Whether it is full.
         full: bool,
     },
     /// Another process lives under the name of one, or no longer.
-    Twin {
+    #[serde(rename = "Twin")]
+    Duplicate {
         /// Whose name.
-        who: usize,
+        #[serde(rename = "who")]
+        process: usize,
         /// Whether it lives.
-        lives: bool,
+        #[serde(rename = "lives")]
+        running: bool,
     },
     /// The folder of a process held this boot number.
-    Written {
+    #[serde(rename = "Written")]
+    BootStored {
         /// Whose folder.
-        who: usize,
+        #[serde(rename = "who")]
+        process: usize,
         /// The number.
         boot: u64,
     },
@@ -84,13 +97,16 @@
         dest: u64,
     },
     /// A destination told a process to wait.
-    Waits {
+    #[serde(rename = "Waits")]
+    WaitReturned {
         /// Whom.
-        who: usize,
+        #[serde(rename = "who")]
+        process: usize,
         /// Whose endpoint.
         dest: u64,
         /// How long (ms).
-        wait: f64,
+        #[serde(rename = "wait")]
+        wait_ms: f64,
     },
     /// A destination of everybody is down, or back and cold.
     Outage {
@@ -107,28 +123,35 @@
     /// What all together may send to each destination from now on (calls a second).
     Limit {
         /// So much.
-        calls: f64,
+        #[serde(rename = "calls")]
+        calls_per_sec: f64,
     },
     /// A process said this of itself.
-    Told(Claim),
+    #[serde(rename = "Told")]
+    Claimed(Claim),
     /// A process said that it holds a duty.
-    Holds(Holds),
+    #[serde(rename = "Holds")]
+    DutyClaimed(DutyClaim),
     /// The other process under a name said this of itself.
-    TwinTold(Claim),
+    #[serde(rename = "TwinTold")]
+    DuplicateClaimed(Claim),
 }
 
 /// What a process says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
     /// Which process.
-    pub who: usize,
+    #[serde(rename = "who")]
+    pub process: usize,
     /// When it looked, and until when that holds if it hears nothing more (microseconds of a clock that all processes
     /// of the machine share).
-    pub span: [u64; 2],
+    #[serde(rename = "span")]
+    pub valid_us: [u64; 2],
     /// Its standing.
     pub standing: String,
     /// Whether it may do what one side alone may do.
-    pub acts: bool,
+    #[serde(rename = "acts")]
+    pub may_act: bool,
     /// Whether it takes on, sends on, and is ready.
     pub serves: [bool; 3],
     /// Its view.
@@ -136,7 +159,8 @@
     /// Whose support counts, by number.
     pub voters: Vec<usize>,
     /// Members of its view, by number.
-    pub there: Vec<usize>,
+    #[serde(rename = "there")]
+    pub members: Vec<usize>,
     /// How it holds each process to stand, by number.
     pub states: Vec<String>,
     /// Among how many it divides what all share.
@@ -147,27 +171,27 @@
 
 /// How soon what must hold (ms).
 #[derive(Clone, Copy, Debug)]
-pub struct FleetTerms {
+pub struct FleetParams {
     /// A death is known to all who are connected, and nobody who is connected is held for dead, after so long.
-    pub known: f64,
+    pub detect_ms: f64,
     /// The same where most are gone: whoever hears nobody doubts itself first, and probes more slowly.
-    pub known_few: f64,
+    pub detect_minority_ms: f64,
     /// All who are connected hold one view after so long, from when the dead are known on.
-    pub agreed: f64,
+    pub agree_ms: f64,
     /// A view stands for so long at least: a change is one step and no flicker.
-    pub settled: f64,
+    pub settle_ms: f64,
     /// What was heard of another process under one's own name counts for so long after its end.
-    pub forgotten: f64,
+    pub duplicate_expiry_ms: f64,
     /// A wait of this length is not one of a limit: all keep it,
-    pub shut: f64,
+    pub long_wait_ms: f64,
     /// once they have heard of it: after so long.
-    pub heard: f64,
+    pub wait_spread_ms: f64,
     /// So many duties there are, and from then on each is held, since all is mended.
     pub duties: (usize, f64),
     /// What holds of destinations that were down.
-    pub cold: Cold,
+    pub recovery: ColdStart,
     /// How late the rig's own clocks were.
-    pub slack: f64,
+    pub clock_slack_ms: f64,
 }
 
 /// A property of a fleet that did not hold.
@@ -176,17 +200,17 @@
     /// When (ms).
     pub at: f64,
     /// What.
-    pub what: String,
+    pub text: String,
 }
 
 impl fmt::Display for FleetBreach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {:.0} ms: {}", self.at, self.what)
+        write!(f, "at {:.0} ms: {}", self.at, self.text)
     }
 }
 
 /// Judges a run of `size` processes.
-pub fn judge_fleet(terms: &FleetTerms, size: usize, ledger: &[FleetEntry]) -> Vec<FleetBreach> {
+pub fn judge_fleet(terms: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<FleetBreach> {
     let mut breaches = Vec::new();
     exclusive(ledger, &mut breaches);
     table(ledger, &mut breaches);
@@ -198,12 +222,12 @@
     crate::returns::returns(terms, size, ledger, &mut breaches);
     let (duties, last) = terms.duties;
     crate::duties::duties(ledger, duties, last, &mut breaches);
-    let reach = judge_reach(terms, ledger);
+    let reach = judge_limit(terms, ledger);
     // One whole call that each has saved up, and a tenth of a second of the limit; then how late the rig's clocks were.
-    let allowed = size as f64 + reach.most * (0.1 + terms.slack / 1000.0) + 1.0;
+    let allowed = size as f64 + reach.max_limit * (0.1 + terms.clock_slack_ms / 1000.0) + 1.0;
     if let Some((at, excess)) = reach.excess.filter(|(_, excess)| *excess > allowed) {
         let what = format!("{excess:.1} calls beyond the limit, {allowed:.1} are allowed");
-        breaches.push(FleetBreach { at, what });
+        breaches.push(FleetBreach { at, text: what });
     }
     breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
     breaches
@@ -211,7 +235,7 @@
 
 /// What reached destinations that have a limit, from all processes together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reach {
+pub struct LimitUse {
     /// When the span ended (ms) over which the most came beyond the limit to one destination, and how many calls.
     pub excess: Option<(f64, f64)>,
     /// Calls that came while there was a limit,
@@ -219,25 +243,26 @@
     /// and as a part of what the limits allowed for destinations that anything came to.
     pub used: f64,
     /// The largest limit (calls a second).
-    pub most: f64,
+    pub max_limit: f64,
 }
 
 /// What reached destinations, against the limits that held. A limit that falls holds from `slack` later on: until then its
 /// news is on the way to the processes.
-pub fn judge_reach(terms: &FleetTerms, ledger: &[FleetEntry]) -> Reach {
+pub fn judge_limit(terms: &FleetParams, ledger: &[FleetEntry]) -> LimitUse {
     let mut limits: Vec<(f64, f64)> = Vec::new();
     let mut came: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Limit { calls } => {
+            FleetEvent::Limit { calls_per_sec: calls } => {
                 let falls = limits.last().is_some_and(|(_, last)| calls < last);
-                limits.push((entry.at + if falls { terms.slack } else { 0.0 }, *calls));
+                limits.push((entry.at + if falls { terms.clock_slack_ms } else { 0.0 }, *calls));
             }
             FleetEvent::Began { dest, .. } => came.entry(*dest).or_default().push(entry.at),
             _ => {}
         }
     }
-    let mut reach = Reach { most: limits.iter().map(|l| l.1).fold(0.0, f64::max), ..Reach::default() };
+    let mut reach =
+        LimitUse { max_limit: limits.iter().map(|l| l.1).fold(0.0, f64::max), ..LimitUse::default() };
     let Some(first) = limits.first().map(|l| l.0) else { return reach };
     // What the limits have allowed since the first of them.
     let allowed = |at: f64| -> f64 {
@@ -273,21 +298,23 @@
     let mut acted: Vec<(u64, u64, &str, usize)> = Vec::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Told(claim) => {
-                if claim.acts {
-                    let (mut from, to) = (claim.span[0], claim.span[0] + 1);
-                    if let Some(before) = last.get(&claim.who).filter(|c| c.acts && c.view == claim.view) {
-                        from = before.span[0];
-                        if before.span[1] < claim.span[0] {
-                            acted.push((from, before.span[1], &claim.view, claim.who));
-                            from = claim.span[0];
+            FleetEvent::Claimed(claim) => {
+                if claim.may_act {
+                    let (mut from, to) = (claim.valid_us[0], claim.valid_us[0] + 1);
+                    if let Some(before) =
+                        last.get(&claim.process).filter(|c| c.may_act && c.view == claim.view)
+                    {
+                        from = before.valid_us[0];
+                        if before.valid_us[1] < claim.valid_us[0] {
+                            acted.push((from, before.valid_us[1], &claim.view, claim.process));
+                            from = claim.valid_us[0];
                         }
                     }
-                    acted.push((from, to, &claim.view, claim.who));
+                    acted.push((from, to, &claim.view, claim.process));
                 }
-                last.insert(claim.who, claim);
+                last.insert(claim.process, claim);
             }
-            FleetEvent::Started(who) | FleetEvent::Ended(who) => drop(last.remove(who)),
+            FleetEvent::Started(who) | FleetEvent::Exited(who) => drop(last.remove(who)),
             _ => {}
         }
     }
@@ -298,10 +325,10 @@
         if let Some(other) = open.iter().find(|other| other.2 != span.2) {
             let what = format!("{} acts under {}, and {} under {}", other.3, other.2, span.3, span.2);
             let at = ledger.iter().find_map(|e| match &e.event {
-                FleetEvent::Told(c) if c.who == span.3 && c.span[0] >= span.0 => Some(e.at),
+                FleetEvent::Claimed(c) if c.process == span.3 && c.valid_us[0] >= span.0 => Some(e.at),
                 _ => None,
             });
-            breaches.push(FleetBreach { at: at.unwrap_or(0.0), what });
+            breaches.push(FleetBreach { at: at.unwrap_or(0.0), text: what });
             return;
         }
         open.push(span);
@@ -322,44 +349,49 @@
 
 fn table(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     for entry in ledger {
-        let (FleetEvent::Told(claim) | FleetEvent::TwinTold(claim)) = &entry.event else { continue };
-        if allowed(&claim.standing) != Some((claim.acts, claim.serves)) {
-            let what =
-                format!("{} is {} and may {} {:?}", claim.who, claim.standing, claim.acts, claim.serves);
-            breaches.push(FleetBreach { at: entry.at, what });
+        let (FleetEvent::Claimed(claim) | FleetEvent::DuplicateClaimed(claim)) = &entry.event else {
+            continue;
+        };
+        if allowed(&claim.standing) != Some((claim.may_act, claim.serves)) {
+            let what = format!(
+                "{} is {} and may {} {:?}",
+                claim.process, claim.standing, claim.may_act, claim.serves
+            );
+            breaches.push(FleetBreach { at: entry.at, text: what });
         }
         // Whoever acts hears a majority of those whose support counts.
-        let voters = claim.voters.iter().filter(|v| claim.there.contains(v)).count();
-        if claim.acts && voters * 2 <= claim.voters.len() {
-            let what = format!("{} acts with {:?}, of voters {:?}", claim.who, claim.there, claim.voters);
-            breaches.push(FleetBreach { at: entry.at, what });
+        let voters = claim.voters.iter().filter(|v| claim.members.contains(v)).count();
+        if claim.may_act && voters * 2 <= claim.voters.len() {
+            let what =
+                format!("{} acts with {:?}, of voters {:?}", claim.process, claim.members, claim.voters);
+            breaches.push(FleetBreach { at: entry.at, text: what });
         }
     }
 }
 
 /// Nobody's view changes twice within a settling time.
-fn steps(terms: &FleetTerms, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+fn steps(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     // The view of each, and when it was first told, by the process's own looks.
     let mut stands: BTreeMap<usize, (&str, Option<u64>)> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Told(claim) => {
-                let at = claim.span[0];
-                match stands.get(&claim.who).copied() {
+            FleetEvent::Claimed(claim) => {
+                let at = claim.valid_us[0];
+                match stands.get(&claim.process).copied() {
                     Some((view, _)) if view == claim.view => {}
-                    Some((_, Some(since))) if ((at - since) as f64) < terms.settled * 1000.0 => {
-                        let what = format!("{} changes its view after {} us", claim.who, at - since);
-                        breaches.push(FleetBreach { at: entry.at, what });
+                    Some((_, Some(since))) if ((at - since) as f64) < terms.settle_ms * 1000.0 => {
+                        let what = format!("{} changes its view after {} us", claim.process, at - since);
+                        breaches.push(FleetBreach { at: entry.at, text: what });
                         return;
                     }
                     known => {
                         // When the first view was taken up is not known.
                         let since = known.map(|_| at);
-                        stands.insert(claim.who, (&claim.view, since));
+                        stands.insert(claim.process, (&claim.view, since));
                     }
                 }
             }
-            FleetEvent::Started(who) | FleetEvent::Woken(who) => drop(stands.remove(who)),
+            FleetEvent::Started(who) | FleetEvent::Resumed(who) => drop(stands.remove(who)),
             _ => {}
         }
     }
@@ -370,16 +402,17 @@
     let mut held: BTreeMap<usize, u64> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Written { who, boot } => {
+            FleetEvent::BootStored { process: who, boot } => {
                 let held = held.entry(*who).or_default();
                 *held = (*held).max(*boot);
             }
-            FleetEvent::Told(claim) => {
+            FleetEvent::Claimed(claim) => {
                 let spoken = claim.boots.iter().enumerate();
                 let mut early = spoken.filter(|(who, boot)| **boot > held.get(who).copied().unwrap_or(0));
-                if let Some((who, boot)) = early.rfind(|(who, _)| *who != claim.who) {
-                    let what = format!("{} heard of boot {boot} of {who}, which is on no disk", claim.who);
-                    breaches.push(FleetBreach { at: entry.at, what });
+                if let Some((who, boot)) = early.rfind(|(who, _)| *who != claim.process) {
+                    let what =
+                        format!("{} heard of boot {boot} of {who}, which is on no disk", claim.process);
+                    breaches.push(FleetBreach { at: entry.at, text: what });
                     return;
                 }
             }
@@ -389,19 +422,19 @@
 }
 
 /// Nobody calls a destination that told one of them to wait for long, where all hear each other well all the time.
-fn waits(terms: &FleetTerms, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+fn waits(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     let bad = |e: &FleetEntry| {
-        matches!(e.event, FleetEvent::Link { open: false, .. } | FleetEvent::Weather { rough: true })
+        matches!(e.event, FleetEvent::Link { open: false, .. } | FleetEvent::LinkQuality { degraded: true })
     };
     if ledger.iter().any(bad) {
         return;
     }
-    let late = terms.heard + terms.slack;
+    let late = terms.wait_spread_ms + terms.clock_slack_ms;
     // By destination: who was told, and the spans in which others keep it.
     let mut held: BTreeMap<u64, Vec<(usize, f64, f64)>> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Waits { who, dest, wait } if *wait >= terms.shut => {
+            FleetEvent::WaitReturned { process: who, dest, wait_ms: wait } if *wait >= terms.long_wait_ms => {
                 held.entry(*dest).or_default().push((*who, entry.at + late, entry.at + wait));
             }
             FleetEvent::Began { from, dest } => {
@@ -411,7 +444,7 @@
                 };
                 if let Some((who, ..)) = spans.iter().find(kept) {
                     let what = format!("{from} calls {dest}, which told {who} to wait");
-                    breaches.push(FleetBreach { at: entry.at, what });
+                    breaches.push(FleetBreach { at: entry.at, text: what });
                     return;
                 }
             }
@@ -422,21 +455,24 @@
 
 /// Of two that live under one name one is silent once they know, and never both for long; when one has ended the
 /// other takes on again.
-fn twins(terms: &FleetTerms, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+fn twins(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     // By name: since when it is so, whether the two live, and what each last said, if it was after that.
     let mut names: BTreeMap<usize, (f64, bool, [Option<bool>; 2])> = BTreeMap::new();
     for entry in ledger {
         let (claim, which) = match &entry.event {
-            FleetEvent::Twin { who, lives } => {
+            FleetEvent::Duplicate { process: who, running: lives } => {
                 names.insert(*who, (entry.at, *lives, [None; 2]));
                 continue;
             }
-            FleetEvent::Told(claim) => (claim, 0),
-            FleetEvent::TwinTold(claim) => (claim, 1),
+            FleetEvent::Claimed(claim) => (claim, 0),
+            FleetEvent::DuplicateClaimed(claim) => (claim, 1),
             _ => continue,
         };
-        let Some((since, lives, said)) = names.get_mut(&claim.who) else { continue };
-        let within = terms.known + terms.agreed + terms.slack + if *lives { 0.0 } else { terms.forgotten };
+        let Some((since, lives, said)) = names.get_mut(&claim.process) else { continue };
+        let within = terms.detect_ms
+            + terms.agree_ms
+            + terms.clock_slack_ms
+            + if *lives { 0.0 } else { terms.duplicate_expiry_ms };
         if entry.at - *since < within {
             continue;
         }
@@ -447,7 +483,7 @@
             (false, [Some(true), _]) => "is there once, and holds itself for doubled",
             _ => continue,
         };
-        breaches.push(FleetBreach { at: entry.at, what: format!("{} {what}", claim.who) });
+        breaches.push(FleetBreach { at: entry.at, text: format!("{} {what}", claim.process) });
         return;
     }
 }
@@ -488,7 +524,7 @@
 
 /// The dead are known, the living are not held for dead, and those who are connected agree, once nothing has changed
 /// for long enough.
-fn connected(terms: &FleetTerms, size: usize, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+fn connected(terms: &FleetParams, size: usize, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     let mut truth = Truth {
         lives: vec![false; size],
         stopped: vec![false; size],
@@ -502,21 +538,21 @@
     let mut views: BTreeMap<usize, &Claim> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Told(claim) if truth.lives[claim.who] && !truth.stopped[claim.who] => {
-                let mut calm = entry.at - truth.since - terms.slack;
+            FleetEvent::Claimed(claim) if truth.lives[claim.process] && !truth.stopped[claim.process] => {
+                let mut calm = entry.at - truth.since - terms.clock_slack_ms;
                 if truth.twofold.contains(&true) {
-                    calm -= terms.forgotten;
+                    calm -= terms.duplicate_expiry_ms;
                 }
-                let mut island = truth.island(claim.who);
-                let known = if island.len() * 2 > size { terms.known } else { terms.known_few };
+                let mut island = truth.island(claim.process);
+                let known = if island.len() * 2 > size { terms.detect_ms } else { terms.detect_minority_ms };
                 if truth.rough || calm < known {
                     continue;
                 }
                 island.retain(|n| !truth.full[*n]);
-                if truth.full[claim.who] {
+                if truth.full[claim.process] {
                     continue;
                 }
-                for other in (0..size).filter(|other| *other != claim.who) {
+                for other in (0..size).filter(|other| *other != claim.process) {
                     let state = claim.states.get(other).map_or("", String::as_str);
                     let up = truth.lives[other] && !truth.stopped[other];
                     let what = match () {
@@ -526,17 +562,17 @@
                         }
                         () => continue,
                     };
-                    let what = format!("{} holds {other} for {state}, which {what}", claim.who);
-                    breaches.push(FleetBreach { at: entry.at, what });
+                    let what = format!("{} holds {other} for {state}, which {what}", claim.process);
+                    breaches.push(FleetBreach { at: entry.at, text: what });
                     return;
                 }
-                if calm < known + terms.agreed {
+                if calm < known + terms.agree_ms {
                     continue;
                 }
                 let gone = |n: &&usize| !truth.lives[**n] || truth.stopped[**n];
-                if let Some(gone) = claim.there.iter().find(gone) {
-                    let what = format!("{} has {gone} in its view, which is gone", claim.who);
-                    breaches.push(FleetBreach { at: entry.at, what });
+                if let Some(gone) = claim.members.iter().find(gone) {
+                    let what = format!("{} has {gone} in its view, which is gone", claim.process);
+                    breaches.push(FleetBreach { at: entry.at, text: what });
                     return;
                 }
                 // One-way cuts and bridges let everybody hear of everybody: the island is who must agree.
@@ -544,36 +580,38 @@
                     if let Some(theirs) = views.get(other).filter(|theirs| theirs.view != claim.view) {
                         let what = format!(
                             "{} holds view {} of {:?}, and {other} {} of {:?}",
-                            claim.who, claim.view, claim.there, theirs.view, theirs.there
+                            claim.process, claim.view, claim.members, theirs.view, theirs.members
                         );
-                        breaches.push(FleetBreach { at: entry.at, what });
+                        breaches.push(FleetBreach { at: entry.at, text: what });
                         return;
                     }
                 }
-                views.insert(claim.who, claim);
+                views.insert(claim.process, claim);
             }
-            FleetEvent::Told(_)
-            | FleetEvent::TwinTold(_)
-            | FleetEvent::Carried { .. }
+            FleetEvent::Claimed(_)
+            | FleetEvent::DuplicateClaimed(_)
+            | FleetEvent::Traffic { .. }
             | FleetEvent::Began { .. }
             | FleetEvent::Limit { .. }
             | FleetEvent::Outage { .. }
-            | FleetEvent::Holds(_)
-            | FleetEvent::Waits { .. }
-            | FleetEvent::Written { .. } => {}
+            | FleetEvent::DutyClaimed(_)
+            | FleetEvent::WaitReturned { .. }
+            | FleetEvent::BootStored { .. } => {}
             event => {
                 truth.since = entry.at;
                 views.clear();
                 match event {
                     FleetEvent::Started(who) => (truth.lives[*who], truth.stopped[*who]) = (true, false),
-                    FleetEvent::Ended(who) => truth.lives[*who] = false,
-                    FleetEvent::Stopped(who) => truth.stopped[*who] = true,
-                    FleetEvent::Woken(who) => truth.stopped[*who] = false,
+                    FleetEvent::Exited(who) => truth.lives[*who] = false,
+                    FleetEvent::Paused(who) => truth.stopped[*who] = true,
+                    FleetEvent::Resumed(who) => truth.stopped[*who] = false,
                     FleetEvent::Link { from, to, open } => truth.open[*from][*to] = *open,
-                    FleetEvent::Weather { rough } => truth.rough = *rough,
-                    FleetEvent::Disk { who, full } => truth.full[*who] = *full,
+                    FleetEvent::LinkQuality { degraded: rough } => truth.rough = *rough,
+                    FleetEvent::Disk { process: who, full } => truth.full[*who] = *full,
                     // While two live under a name, what all believe of it may change from word to word.
-                    FleetEvent::Twin { who, lives } => (truth.rough, truth.twofold[*who]) = (*lives, true),
+                    FleetEvent::Duplicate { process: who, running: lives } => {
+                        (truth.rough, truth.twofold[*who]) = (*lives, true)
+                    }
                     _ => {}
                 }
             }
@@ -583,17 +621,23 @@
 
 /// The terms of tests.
 #[cfg(test)]
-pub(crate) const TERMS: FleetTerms = FleetTerms {
-    known: 100.0,
-    known_few: 100.0,
-    agreed: 100.0,
-    settled: 50.0,
-    forgotten: 300.0,
-    shut: 500.0,
-    heard: 50.0,
+pub(crate) const TERMS: FleetParams = FleetParams {
+    detect_ms: 100.0,
+    detect_minority_ms: 100.0,
+    agree_ms: 100.0,
+    settle_ms: 50.0,
+    duplicate_expiry_ms: 300.0,
+    long_wait_ms: 500.0,
+    wait_spread_ms: 50.0,
     duties: (0, 0.0),
-    cold: Cold { found: 1000.0, start: 0.2, warm: 2000.0, tries: 400.0, late: 0.0 },
-    slack: 0.0,
+    recovery: ColdStart {
+        detect_ms: 1000.0,
+        start_capacity: 0.2,
+        warm_up_ms: 2000.0,
+        probe_interval_ms: 400.0,
+        clock_slack_ms: 0.0,
+    },
+    clock_slack_ms: 0.0,
 };
 
 #[cfg(test)]
@@ -606,14 +650,14 @@
         let (view, there, serves) = (view.to_owned(), there.to_vec(), [true; 3]);
         let voters = (0..3).collect();
         Claim {
-            who,
-            span,
+            process: who,
+            valid_us: span,
             standing,
-            acts,
+            may_act: acts,
             serves,
             view,
             voters,
-            there,
+            members: there,
             states,
             senders: 1,
             boots: Vec::new(),
@@ -621,7 +665,7 @@
     }
 
     fn told(at: f64, claim: Claim) -> FleetEntry {
-        FleetEntry { at, event: FleetEvent::Told(claim) }
+        FleetEntry { at, event: FleetEvent::Claimed(claim) }
     }
 
     fn all_up(size: usize) -> Vec<FleetEntry> {
@@ -636,7 +680,7 @@
         let mut ledger = all_up(3);
         ledger.extend([told(1.0, a(100, 300)), told(2.0, a(200, 400)), told(3.0, b(150, 350))]);
         let found = judge_fleet(&TERMS, 3, &ledger);
-        assert!(found.iter().any(|b| b.what.contains("acts under")), "{found:?}");
+        assert!(found.iter().any(|b| b.text.contains("acts under")), "{found:?}");
         let mut ledger = all_up(3);
         ledger.extend([told(1.0, a(100, 140)), told(2.0, b(150, 350)), told(3.0, a(400, 500))]);
         assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![]);
@@ -645,18 +689,18 @@
     #[test]
     fn the_dead_must_be_known_and_the_connected_not_held_for_dead() {
         let mut ledger = all_up(3);
-        ledger.push(FleetEntry { at: 10.0, event: FleetEvent::Ended(2) });
+        ledger.push(FleetEntry { at: 10.0, event: FleetEvent::Exited(2) });
         let late = claim(0, [0, 0], false, "a", &[0, 1], &["alive", "alive", "alive"]);
         ledger.push(told(50.0, late.clone()));
         assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![], "not yet");
         ledger.push(told(150.0, late));
-        assert!(judge_fleet(&TERMS, 3, &ledger)[0].what.contains("is gone"));
+        assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("is gone"));
 
         // 0 and 1 hear each other by 2 alone.
         let mut ledger = all_up(3);
         ledger.push(FleetEntry { at: 10.0, event: FleetEvent::Link { from: 0, to: 1, open: false } });
         ledger.push(told(150.0, claim(0, [0, 0], false, "a", &[0, 2], &["alive", "dead", "alive"])));
-        assert!(judge_fleet(&TERMS, 3, &ledger)[0].what.contains("is connected"));
+        assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("is connected"));
     }
 
     #[test]
@@ -665,10 +709,10 @@
         let states = ["alive"; 3];
         ledger.push(told(250.0, claim(0, [0, 0], false, "a", &[0, 1], &states)));
         ledger.push(told(260.0, claim(1, [0, 0], false, "b", &[0, 1, 2], &states)));
-        assert!(judge_fleet(&TERMS, 3, &ledger)[0].what.contains("holds view"));
+        assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("holds view"));
         let lone = claim(0, [0, 0], true, "a", &[0], &states);
         let ledger: Vec<_> = all_up(3).into_iter().chain([told(10.0, lone)]).collect();
-        assert!(judge_fleet(&TERMS, 3, &ledger)[0].what.contains("acts with"));
+        assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("acts with"));
         let mut odd = claim(0, [0, 0], false, "a", &[0, 1], &states);
         odd.serves = [true, false, true];
         let ledger: Vec<_> = all_up(3).into_iter().chain([told(10.0, odd)]).collect();
@@ -684,17 +728,17 @@
         ledger.extend([view(1, "a"), view(2, "b"), view(60, "c"), view(120, "a")]);
         assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![]);
         ledger.push(view(150, "b"));
-        assert!(judge_fleet(&TERMS, 3, &ledger)[0].what.contains("changes its view"));
+        assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("changes its view"));
     }
 
     #[test]
     fn a_boot_is_on_disk_before_it_is_heard_of() {
         let mut claim = claim(0, [0, 0], false, "a", &[0, 1], &["alive"; 3]);
         claim.boots = vec![9, 2, 0];
-        let written = |boot| FleetEntry { at: 1.0, event: FleetEvent::Written { who: 1, boot } };
+        let written = |boot| FleetEntry { at: 1.0, event: FleetEvent::BootStored { process: 1, boot } };
         let ledger = |boot| [all_up(3), vec![written(boot), told(2.0, claim.clone())]].concat();
         assert_eq!(judge_fleet(&TERMS, 3, &ledger(2)), vec![]);
-        assert!(judge_fleet(&TERMS, 3, &ledger(1))[0].what.contains("on no disk"));
+        assert!(judge_fleet(&TERMS, 3, &ledger(1))[0].text.contains("on no disk"));
     }
 
     #[test]
@@ -704,13 +748,13 @@
             if doubled {
                 (claim.standing, claim.serves) = ("doubled".to_owned(), [false; 3]);
             }
-            let event = if twin { FleetEvent::TwinTold(claim) } else { FleetEvent::Told(claim) };
+            let event = if twin { FleetEvent::DuplicateClaimed(claim) } else { FleetEvent::Claimed(claim) };
             FleetEntry { at, event }
         };
-        let twin = |at, lives| FleetEntry { at, event: FleetEvent::Twin { who: 1, lives } };
+        let twin = |at, lives| FleetEntry { at, event: FleetEvent::Duplicate { process: 1, running: lives } };
         let found = |more: &[FleetEntry]| {
             let ledger = [all_up(3), vec![twin(10.0, true)], more.to_vec()].concat();
-            judge_fleet(&TERMS, 3, &ledger).first().map(|b| b.what.clone()).unwrap_or_default()
+            judge_fleet(&TERMS, 3, &ledger).first().map(|b| b.text.clone()).unwrap_or_default()
         };
         assert_eq!(found(&[said(100.0, false, false), said(100.0, true, false)]), "");
         assert_eq!(found(&[said(300.0, false, true), said(300.0, true, false)]), "");
@@ -722,27 +766,30 @@
 
     #[test]
     fn what_all_send_together_is_held_to_the_limit_over_every_span() {
-        let mut ledger = vec![FleetEntry { at: 0.0, event: FleetEvent::Limit { calls: 10.0 } }];
+        let mut ledger = vec![FleetEntry { at: 0.0, event: FleetEvent::Limit { calls_per_sec: 10.0 } }];
         let began = |at, from| FleetEntry { at, event: FleetEvent::Began { from, dest: 7 } };
         // Ten a second from two processes for five seconds: just what is allowed.
         ledger.extend((0..50).map(|n| began(f64::from(n) * 100.0, n as usize % 2)));
-        let reach = judge_reach(&TERMS, &ledger);
+        let reach = judge_limit(&TERMS, &ledger);
         assert!(reach.excess.is_some_and(|(_, excess)| (0.9..1.1).contains(&excess)), "{reach:?}");
         assert!((0.95..1.1).contains(&reach.used), "{reach:?}");
         assert_eq!(judge_fleet(&TERMS, 2, &ledger), vec![]);
         // Ten more within 50 ms, at the end.
         ledger.extend((0..10).map(|n| began(5000.0 + f64::from(n) * 5.0, 0)));
-        assert!(judge_fleet(&TERMS, 2, &ledger)[0].what.contains("beyond the limit"));
+        assert!(judge_fleet(&TERMS, 2, &ledger)[0].text.contains("beyond the limit"));
         // A limit that falls to a tenth: what was right before is too much after.
         let mut ledger = ledger[..51].to_vec();
-        ledger.push(FleetEntry { at: 5000.0, event: FleetEvent::Limit { calls: 1.0 } });
+        ledger.push(FleetEntry { at: 5000.0, event: FleetEvent::Limit { calls_per_sec: 1.0 } });
         ledger.extend((0..20).map(|n| began(5000.0 + f64::from(n) * 100.0, 1)));
-        assert!(judge_fleet(&TERMS, 2, &ledger)[0].what.contains("beyond the limit"));
+        assert!(judge_fleet(&TERMS, 2, &ledger)[0].text.contains("beyond the limit"));
     }
 
     #[test]
     fn a_long_wait_told_to_one_is_kept_by_all_who_could_hear_of_it() {
-        let waits = |wait| FleetEntry { at: 100.0, event: FleetEvent::Waits { who: 0, dest: 7, wait } };
+        let waits = |wait| FleetEntry {
+            at: 100.0,
+            event: FleetEvent::WaitReturned { process: 0, dest: 7, wait_ms: wait },
+        };
         let began = |at, from| FleetEntry { at, event: FleetEvent::Began { from, dest: 7 } };
         let found = |wait, at, from| judge_fleet(&TERMS, 2, &[waits(wait), began(at, from)]).len();
         assert_eq!([found(800.0, 140.0, 1), found(800.0, 950.0, 1), found(300.0, 200.0, 1)], [0; 3]);
--- a/crates/checker/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -18,48 +18,48 @@
 
 /// The figures of the rules (ms), and how exact the run's clock was.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RuleParams {
     /// Classes, by name.
     pub classes: BTreeMap<String, Effect>,
     /// An end later than this after the message's time is up is missing.
-    pub notice_within: f64,
+    pub notice_within_ms: f64,
     /// Nothing is overdue for so long after the forwarder is ready again.
-    pub restart_grace: f64,
+    pub restart_grace_ms: f64,
     /// Nothing new goes to an endpoint later than this after it was told to drain.
-    pub drain_grace: f64,
+    pub drain_grace_ms: f64,
     /// Calls that come so soon after a wait was told are let through.
-    pub wait_grace: f64,
+    pub wait_grace_ms: f64,
     /// A returning destination falls over above this multiple of what it can do at that moment,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// kept up for so long.
-    pub fall_for: f64,
+    pub overload_for_ms: f64,
     /// What a destination can do right after an outage, as a part of all.
     pub start_capacity: f64,
     /// It can do all again after this time.
-    pub warm_after: f64,
+    pub warm_up_ms: f64,
     /// An ordered key rests so long after an attempt that may still run.
-    pub turn_gap: f64,
+    pub order_gap_ms: f64,
     /// How late the run's own clocks were.
-    pub slack: f64,
+    pub clock_slack_ms: f64,
 }
 
-impl Default for Terms {
+impl Default for RuleParams {
     /// The figures of PROTOCOL and BRIEF, and classes `safe`, `keyed` and `unsafe`.
     fn default() -> Self {
         let classes =
             [("safe", Effect::Safe), ("keyed", Effect::Keyed(15_000.0)), ("unsafe", Effect::Unsafe)];
-        Terms {
+        RuleParams {
             classes: classes.into_iter().map(|(name, effect)| (name.to_owned(), effect)).collect(),
-            notice_within: 300.0,
-            restart_grace: 1500.0,
-            drain_grace: 2000.0,
-            wait_grace: 100.0,
-            fall_multiple: 2.0,
-            fall_for: 3000.0,
+            notice_within_ms: 300.0,
+            restart_grace_ms: 1500.0,
+            drain_grace_ms: 2000.0,
+            wait_grace_ms: 100.0,
+            overload_multiple: 2.0,
+            overload_for_ms: 3000.0,
             start_capacity: 0.17,
-            warm_after: 13_000.0,
-            turn_gap: 1000.0,
-            slack: 150.0,
+            warm_up_ms: 13_000.0,
+            order_gap_ms: 1000.0,
+            clock_slack_ms: 150.0,
         }
     }
 }
@@ -105,7 +105,7 @@
 }
 
 /// Judges a run, all six rules. The ledger is in the order of its times.
-pub fn judge(terms: &Terms, ledger: &[Entry]) -> Vec<Breach> {
+pub fn judge(terms: &RuleParams, ledger: &[Entry]) -> Vec<Breach> {
     let view = rules::View::new(terms, ledger);
     let mut breaches = Vec::new();
     rules::lost(&view, &mut breaches);
--- a/crates/checker/src/ledger.rs
+++ b/crates/checker/src/ledger.rs
@@ -28,11 +28,13 @@
         order_key: Option<String>,
     },
     /// What became of that request.
-    Heard {
+    #[serde(rename = "Heard")]
+    ClientDone {
         /// The message.
         id: String,
         /// The answer, or none.
-        answer: Heard,
+        #[serde(rename = "answer")]
+        outcome: ClientOutcome,
     },
     /// The first byte of a call reached an endpoint.
     Began {
@@ -94,7 +96,7 @@
         capacity: f64,
     },
     /// The forwarder's own life.
-    Forwarder(Life),
+    Forwarder(ForwarderState),
 }
 
 impl Event {
@@ -106,7 +108,7 @@
 
 /// What a client heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Heard {
+pub enum ClientOutcome {
     /// An answer with this status.
     Status(u16),
     /// The connection ended with no answer.
@@ -141,7 +143,7 @@
 
 /// The forwarder's own life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
+pub enum ForwarderState {
     /// It answers that it is ready.
     Ready,
     /// It is told to end, or killed.
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -4,10 +4,10 @@
 //! ```
 //! use yarrowhill_checker::*;
 //!
-//! let terms = Terms::default();
+//! let terms = RuleParams::default();
 //! let ledger = vec![
 //!     Entry { at: 0.0, event: Event::sent("a", "unsafe", 7, 1000.0) },
-//!     Entry { at: 5.0, event: Event::Heard { id: "a".into(), answer: Heard::Status(202) } },
+//!     Entry { at: 5.0, event: Event::ClientDone { id: "a".into(), outcome: ClientOutcome::Status(202) } },
 //! ];
 //! // Taken on, and nothing came of it.
 //! assert_eq!(judge(&terms, &ledger)[0].rule, Rule::Lost);
@@ -22,8 +22,10 @@
 mod rules;
 
 pub use accounts::{Account, accounts};
-pub use duties::{Holds, vacancies};
-pub use fleet::{Claim, FleetBreach, FleetEntry, FleetEvent, FleetTerms, Reach, judge_fleet, judge_reach};
-pub use judge::{Breach, Effect, Rule, Terms, judge};
-pub use ledger::{CallEnd, Entry, Event, Heard, Life, Standing};
-pub use returns::{Cold, Returned, judge_returns};
+pub use duties::{DutyClaim, vacancies};
+pub use fleet::{
+    Claim, FleetBreach, FleetEntry, FleetEvent, FleetParams, LimitUse, judge_fleet, judge_limit,
+};
+pub use judge::{Breach, Effect, Rule, RuleParams, judge};
+pub use ledger::{CallEnd, ClientOutcome, Entry, Event, ForwarderState, Standing};
+pub use returns::{ColdStart, OutageReport, judge_outages};
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, each read from the ledger on its own.
 
-use crate::judge::{Breach, Effect, Rule, Terms};
-use crate::ledger::{CallEnd, Entry, Event, Heard, Life, Standing};
+use crate::judge::{Breach, Effect, Rule, RuleParams};
+use crate::ledger::{CallEnd, ClientOutcome, Entry, Event, ForwarderState, Standing};
 use std::collections::BTreeMap;
 
 /// One message, by its id.
@@ -12,7 +12,7 @@
     sent: f64,
     /// Its time is up then.
     up: f64,
-    heard: Vec<(f64, Heard)>,
+    heard: Vec<(f64, ClientOutcome)>,
     calls: Vec<u64>,
     /// Time, handed back, acknowledged.
     notices: Vec<(f64, bool, bool)>,
@@ -21,7 +21,7 @@
 impl Message<'_> {
     /// When it was taken on.
     fn taken_on(&self) -> Option<f64> {
-        let taken = |heard: &&(f64, Heard)| matches!(heard.1, Heard::Status(200 | 202));
+        let taken = |heard: &&(f64, ClientOutcome)| matches!(heard.1, ClientOutcome::Status(200 | 202));
         self.heard.iter().find(taken).map(|(at, _)| *at)
     }
 }
@@ -55,7 +55,7 @@
 
 /// The ledger, by message and by call.
 pub(crate) struct View<'a> {
-    terms: &'a Terms,
+    terms: &'a RuleParams,
     ledger: &'a [Entry],
     messages: BTreeMap<&'a str, Message<'a>>,
     calls: BTreeMap<u64, Call<'a>>,
@@ -64,7 +64,7 @@
 }
 
 impl<'a> View<'a> {
-    pub(crate) fn new(terms: &'a Terms, ledger: &'a [Entry]) -> Self {
+    pub(crate) fn new(terms: &'a RuleParams, ledger: &'a [Entry]) -> Self {
         let mut view =
             View { terms, ledger, messages: BTreeMap::new(), calls: BTreeMap::new(), restarts: Vec::new() };
         for Entry { at, event } in ledger {
@@ -88,7 +88,7 @@
                     notices: Vec::new(),
                 });
             }
-            Event::Heard { id, answer } => {
+            Event::ClientDone { id, outcome: answer } => {
                 self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.heard.push((at, *answer)));
             }
             Event::Called { call, ids, .. } => {
@@ -103,12 +103,12 @@
                 let notice = (at, *handed_back, *acknowledged);
                 self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.notices.push(notice));
             }
-            Event::Forwarder(Life::Ending) => {
+            Event::Forwarder(ForwarderState::Ending) => {
                 if self.restarts.last().is_none_or(|(_, ready)| *ready < f64::INFINITY) {
                     self.restarts.push((at, f64::INFINITY));
                 }
             }
-            Event::Forwarder(Life::Ready) => {
+            Event::Forwarder(ForwarderState::Ready) => {
                 self.restarts.last_mut().into_iter().for_each(|r| r.1 = r.1.min(at));
             }
             Event::Began { .. } | Event::Listed { .. } | Event::Outage { .. } => {}
@@ -151,12 +151,13 @@
     for (id, m) in &view.messages {
         // A connection that ends with nothing said and nothing sent on has failed its client, no more.
         // That the forwarder died is seen a little later than by its clients.
-        let restarting =
-            |at: f64| view.restarts.iter().any(|(from, to)| (*from - terms.slack..=*to).contains(&at));
+        let restarting = |at: f64| {
+            view.restarts.iter().any(|(from, to)| (*from - terms.clock_slack_ms..=*to).contains(&at))
+        };
         let broken = m
             .heard
             .iter()
-            .find(|(_, heard)| *heard == Heard::Broken)
+            .find(|(_, heard)| *heard == ClientOutcome::Broken)
             .filter(|(at, _)| m.taken_on().is_none() && !m.calls.is_empty() && !restarting(*at));
         if let Some((at, _)) = broken {
             let text = format!("{id}: its client's connection ended with no answer, and it was called");
@@ -165,14 +166,14 @@
         if m.taken_on().is_none() {
             continue;
         }
-        let mut due = m.up + terms.notice_within;
+        let mut due = m.up + terms.notice_within_ms;
         for (from, ready) in &view.restarts {
             if *from <= due {
-                due = due.max(ready + terms.restart_grace);
+                due = due.max(ready + terms.restart_grace_ms);
             }
         }
         match view.ended(id, m) {
-            Some(at) if at <= due + terms.slack => {}
+            Some(at) if at <= due + terms.clock_slack_ms => {}
             Some(at) => breaches.push(Breach {
                 rule: Rule::Lost,
                 at: due,
@@ -188,7 +189,7 @@
 
 /// No attempt, and no word that another try does no harm, beyond what the class allows.
 pub(crate) fn twice(view: &View, breaches: &mut Vec<Breach>) {
-    let slack = view.terms.slack;
+    let slack = view.terms.clock_slack_ms;
     for (id, m) in &view.messages {
         let mut breach = |at, text: String| {
             breaches.push(Breach { rule: Rule::Twice, at, text: format!("{id}: {text}") });
@@ -215,7 +216,7 @@
         };
         if m.class == Effect::Unsafe {
             for (at, heard) in &m.heard {
-                if matches!(heard, Heard::Status(429 | 503)) && ran(*at) {
+                if matches!(heard, ClientOutcome::Status(429 | 503)) && ran(*at) {
                     breach(*at, "refused although it may have run".into());
                 }
             }
@@ -237,7 +238,7 @@
 /// Nothing new to an endpoint that drains or is gone.
 pub(crate) fn drain(view: &View, breaches: &mut Vec<Breach>) {
     let mut told: BTreeMap<&str, f64> = BTreeMap::new();
-    let late = view.terms.drain_grace + view.terms.slack;
+    let late = view.terms.drain_grace_ms + view.terms.clock_slack_ms;
     for Entry { at, event } in view.ledger {
         match event {
             Event::Listed { uid, standing: Standing::InService } => drop(told.remove(uid.as_str())),
@@ -274,26 +275,28 @@
                 // started since.
                 let seen = calls.iter().any(|call| (since..*at).contains(call));
                 let fresh =
-                    view.restarts.iter().any(|(from, _)| (since..at + terms.warm_after).contains(from));
+                    view.restarts.iter().any(|(from, _)| (since..at + terms.warm_up_ms).contains(from));
                 if !seen || fresh {
                     continue;
                 }
                 let bears = |from: f64, to: f64| {
                     // Calls: what it can do, over a span, with the middle for the whole of it.
-                    let middle = ((from + to) / 2.0 - at).clamp(0.0, terms.warm_after) / terms.warm_after;
+                    let middle = ((from + to) / 2.0 - at).clamp(0.0, terms.warm_up_ms) / terms.warm_up_ms;
                     let part = terms.start_capacity + (1.0 - terms.start_capacity) * middle;
-                    terms.fall_multiple * part * capacity * (to - from) / 1000.0
+                    terms.overload_multiple * part * capacity * (to - from) / 1000.0
                 };
                 let cold: Vec<f64> =
-                    calls.iter().copied().filter(|c| (*at..at + terms.warm_after).contains(c)).collect();
+                    calls.iter().copied().filter(|c| (*at..at + terms.warm_up_ms).contains(c)).collect();
                 for (n, first) in cold.iter().enumerate() {
-                    let end = first + terms.fall_for;
+                    let end = first + terms.overload_for_ms;
                     let came = cold[n..].iter().take_while(|c| **c < end).count() as f64;
                     let bears = bears(*first, end);
                     // Chance: a few calls more than a small number.
                     if came > bears + 2.0 + 2.0 * bears.sqrt() {
-                        let text =
-                            format!("{dest}: {came} calls in {:.0} ms, it bears {bears:.1}", terms.fall_for);
+                        let text = format!(
+                            "{dest}: {came} calls in {:.0} ms, it bears {bears:.1}",
+                            terms.overload_for_ms
+                        );
                         breaches.push(Breach { rule: Rule::FailBack, at: *first, text });
                         break;
                     }
@@ -319,7 +322,9 @@
                 for (earlier, e) in &list[..n] {
                     let open = view.ended(earlier, e).is_none_or(|end| end > call.called);
                     let rests = e.calls.iter().map(|c| &view.calls[c]).any(|c| match c.end {
-                        Some((at, None)) => call.called < at + view.terms.turn_gap && c.called < call.called,
+                        Some((at, None)) => {
+                            call.called < at + view.terms.order_gap_ms && c.called < call.called
+                        }
                         Some((at, _)) => c.called < call.called && at > call.called,
                         None => c.called < call.called,
                     });
@@ -346,10 +351,10 @@
                 let Some(dest) = dests.get(call) else { continue };
                 let list = waits.entry(*dest).or_default();
                 list.retain(|(_, until)| until > at);
-                list.push((at + terms.wait_grace + terms.slack, at + wait));
+                list.push((at + terms.wait_grace_ms + terms.clock_slack_ms, at + wait));
             }
             // A restart ends it.
-            Event::Forwarder(Life::Ending) => waits.clear(),
+            Event::Forwarder(ForwarderState::Ending) => waits.clear(),
             Event::Began { dest, uid, .. } => {
                 let list = waits.get(dest).map(Vec::as_slice).unwrap_or_default();
                 if let Some((_, until)) = list.iter().find(|(from, until)| at > from && at < until) {
--- a/crates/checker/tests/rules.rs
+++ b/crates/checker/tests/rules.rs
@@ -11,7 +11,7 @@
 }
 
 fn heard(at_ms: f64, id: &str, status: u16) -> Entry {
-    at(at_ms, Event::Heard { id: id.into(), answer: Heard::Status(status) })
+    at(at_ms, Event::ClientDone { id: id.into(), outcome: ClientOutcome::Status(status) })
 }
 
 fn called(at_ms: f64, call: u64, ids: &[&str]) -> [Entry; 2] {
@@ -34,7 +34,7 @@
 fn broken(parts: &[&[Entry]]) -> Vec<Rule> {
     let mut ledger = parts.concat();
     ledger.sort_by(|a, b| a.at.total_cmp(&b.at));
-    judge(&Terms::default(), &ledger).into_iter().map(|b| b.rule).collect()
+    judge(&RuleParams::default(), &ledger).into_iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -69,14 +69,17 @@
 #[test]
 fn a_restart_gives_notices_more_time() {
     let start = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 202)];
-    let life = [at(900.0, Event::Forwarder(Life::Ending)), at(1500.0, Event::Forwarder(Life::Ready))];
+    let life = [
+        at(900.0, Event::Forwarder(ForwarderState::Ending)),
+        at(1500.0, Event::Forwarder(ForwarderState::Ready)),
+    ];
     assert_eq!(broken(&[&start, &life, &[notice(2900.0, "a", false)]]), []);
     assert_eq!(broken(&[&start, &life, &[notice(3200.0, "a", false)]]), [Rule::Lost]);
 }
 
 #[test]
 fn a_client_is_not_left_without_an_answer_after_its_message_went_out() {
-    let broke = at(20.0, Event::Heard { id: "a".into(), answer: Heard::Broken });
+    let broke = at(20.0, Event::ClientDone { id: "a".into(), outcome: ClientOutcome::Broken });
     let start = [sent(0.0, "a", "unsafe"), broke];
     assert_eq!(broken(&[&start]), []);
     let call = called(10.0, 1, &["a"]);
@@ -170,7 +173,10 @@
     assert_eq!(broken(&[&start, &first, &told, &called(100.0, 2, &[])]), []);
     assert_eq!(broken(&[&start, &first, &told, &called(400.0, 2, &[])]), [Rule::Wait]);
     assert_eq!(broken(&[&start, &first, &told, &called(825.0, 2, &[])]), []);
-    let life = [at(300.0, Event::Forwarder(Life::Ending)), at(350.0, Event::Forwarder(Life::Ready))];
+    let life = [
+        at(300.0, Event::Forwarder(ForwarderState::Ending)),
+        at(350.0, Event::Forwarder(ForwarderState::Ready)),
+    ];
     assert_eq!(broken(&[&start, &first, &told, &life, &called(400.0, 2, &[])]), []);
 }
 
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -19,7 +19,7 @@
 use yarrowhill_membership::{
     FullState, InstanceId, MemberConfig, Membership, Output, Packet, Roster, Timing,
 };
-use yarrowhill_standins::{Class, Figures, Room, configuration};
+use yarrowhill_standins::{Class, ConfigParams, Resources, configuration};
 
 /// Longer than anything that peers can make the program wait for.
 const SOON: Duration = Duration::from_secs(20);
@@ -87,14 +87,14 @@
 /// The intake before an engine that refuses everything.
 async fn heads() -> io::Result<Target> {
     let class = |name, idempotency| Class { name, idempotency, deadline_ms: 1000 };
-    let figures = Figures {
+    let figures = ConfigParams {
         classes: vec![class("auth-notice", "token"), class("settle-order", "side_effect")],
-        key_life_ms: 1000.0,
-        aim_ms: 100.0,
+        key_ttl_ms: 1000.0,
+        goal_time_ms: 100.0,
         slots: 4,
         fail_back: [2.0, 1000.0, 0.2, 1000.0],
         seed: 1,
-        room: Room::default(),
+        resources: Resources::default(),
     };
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let config = configuration(&figures, nowhere, nowhere, &[]);
--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use yarrowhill_checker::{Reach, Returned, Rule, vacancies};
+use yarrowhill_checker::{LimitUse, OutageReport, Rule, vacancies};
 use yarrowhill_rig::{
     Bug, Cell, FleetPlayed, FleetScene, Load, Played, Scratch, Script, Sharing, Sweep, count, directed,
     dutiful, limited, patched, play_load, play_scenes, returning, sweep,
@@ -548,12 +548,21 @@
             }
         }
         if let (Some((limit, way)), Some((at, excess))) = (scene.limit, played.reach.excess) {
-            let Reach { used, calls, .. } = played.reach;
+            let LimitUse { used, calls, .. } = played.reach;
             println!(
                 "{}: {calls} calls, {used:.2} of what {limit:.1} a second allow; {excess:.1} beyond it at {at:.0} ms",
                 scene.name
             );
-            for Returned { dest, tried, may, excess, beyond, full, .. } in &played.returns {
+            for OutageReport {
+                dest,
+                calls_while_down: tried,
+                allowed_while_down: may,
+                excess,
+                allowed_excess: beyond,
+                full_use_ms: full,
+                ..
+            } in &played.returns
+            {
                 let full = full.map_or("never".to_owned(), |ms| format!("after {:.1} s", ms / 1000.0));
                 println!(
                     "  {dest}: {tried} calls while it was down ({may:.0} may be), {excess:.1} beyond what it bore when it was back ({beyond:.0} may be), full use {full}"
@@ -591,16 +600,16 @@
 fn changes(played: &FleetPlayed) {
     let mut last: BTreeMap<usize, (String, usize, usize)> = BTreeMap::new();
     for entry in &played.ledger {
-        let yarrowhill_checker::FleetEvent::Told(claim) = &entry.event else { continue };
-        let now = (claim.standing.clone(), claim.there.len(), claim.senders);
-        if last.get(&claim.who) != Some(&now) {
+        let yarrowhill_checker::FleetEvent::Claimed(claim) = &entry.event else { continue };
+        let now = (claim.standing.clone(), claim.members.len(), claim.senders);
+        if last.get(&claim.process) != Some(&now) {
             let (standing, there, senders) = &now;
             println!(
                 "{:7.2} s  {}: {standing}, {there} in its view, limits shared by {senders}",
                 entry.at / 1000.0,
-                claim.who
+                claim.process
             );
-            last.insert(claim.who, now);
+            last.insert(claim.process, now);
         }
     }
 }
--- a/crates/rig/src/bugs.rs
+++ b/crates/rig/src/bugs.rs
@@ -246,8 +246,8 @@
         let down = |at, shut, span| (at, Act::Down { dest: 0, shut, span });
         let kill = |at, pause| (at, Act::Kill(pause));
         let (dests, acts) = match self {
-            Bug::BelieveLate => (calm(Faults { last_moment: 0.2, late: 0.1, ..none }), vec![]),
-            Bug::BelieveCopy => (calm(Faults { copy: 0.2, spoilt: 0.2, reset: 0.1, ..none }), vec![]),
+            Bug::BelieveLate => (calm(Faults { just_in_time: 0.2, late: 0.1, ..none }), vec![]),
+            Bug::BelieveCopy => (calm(Faults { duplicate: 0.2, malformed: 0.2, reset: 0.1, ..none }), vec![]),
             Bug::SendBeforeJournal => (calm(none), vec![kill(900.0, 100.0), kill(1900.0, 100.0)]),
             // Calls that never answer are out when the process ends.
             Bug::ForgetAttempt => (calm(Faults { silent: 0.3, ..none }), vec![kill(1500.0, 100.0)]),
@@ -257,7 +257,7 @@
                 (calm(none), vec![down(400.0, true, 1200.0), other])
             }
             Bug::ResetNeverRan => (calm(Faults { reset: 0.3, ..none }), vec![]),
-            Bug::SpoiltNeverRan => (calm(Faults { spoilt: 0.3, ..none }), vec![]),
+            Bug::SpoiltNeverRan => (calm(Faults { malformed: 0.3, ..none }), vec![]),
             Bug::NoticeOnce => (calm(Faults { error: 0.3, ..none }), vec![(0.0, Act::DropNotices(2))]),
             Bug::CallDraining => {
                 let replace = |at, dest| (at, Act::Replace { dest, endpoint: 0, drains: 2500.0 });
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -18,10 +18,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use yarrowhill_checker::{
-    Breach, Claim, Cold, Event, FleetBreach, FleetEntry, FleetEvent, FleetTerms, Holds, Reach, Returned,
-    Rule, accounts, judge, judge_fleet, judge_reach, judge_returns,
+    Breach, Claim, ColdStart, DutyClaim, Event, FleetBreach, FleetEntry, FleetEvent, FleetParams, LimitUse,
+    OutageReport, Rule, accounts, judge, judge_fleet, judge_limit, judge_outages,
 };
-use yarrowhill_standins::{Destination, Ledger, Message, Patience, Rng, hand_in};
+use yarrowhill_standins::{ClientOptions, Destination, Ledger, Message, Rng, submit};
 
 /// Between two questions to a process.
 const ASK_EVERY: Duration = Duration::from_millis(50);
@@ -46,9 +46,9 @@
     /// How late the run's own clocks were at most (ms).
     pub lateness: f64,
     /// What reached destinations from all, where there was a limit.
-    pub reach: Reach,
+    pub reach: LimitUse,
     /// What reached those that were down and came back.
-    pub returns: Vec<Returned>,
+    pub returns: Vec<OutageReport>,
     /// All that was done and told.
     pub ledger: Vec<FleetEntry>,
 }
@@ -102,7 +102,7 @@
     let mut fleet = Fleet::start(scene, programs, folder).await?;
     let book = Book { start: Instant::now(), entries: Arc::default() };
     (0..scene.size).for_each(|n| book.write(FleetEvent::Started(n)));
-    scene.limit.into_iter().for_each(|(calls, _)| book.write(FleetEvent::Limit { calls }));
+    scene.limit.into_iter().for_each(|(calls, _)| book.write(FleetEvent::Limit { calls_per_sec: calls }));
     let identities: Arc<[(usize, PathBuf)]> = fleet.identities().into();
     let busy = Arc::new(AtomicUsize::new(0));
     let mut observers = JoinSet::new();
@@ -114,7 +114,7 @@
             seat.control(),
             identities.clone(),
             book.clone(),
-            FleetEvent::Told,
+            FleetEvent::Claimed,
             scene.duties > 0,
         ));
         let (to, dests, ledger) = (seat.process.addr, seat.stage.dests.clone(), seat.ledger.clone());
@@ -138,7 +138,7 @@
         acting.due().await?;
         for n in 0..scene.size {
             if !acting.down.contains(&n)
-                && let Some(status) = acting.fleet.seats[n].process.ended()?
+                && let Some(status) = acting.fleet.seats[n].process.try_exit_status()?
             {
                 acting.down.insert(n);
                 crashed.push(format!("{n} ended: {status}"));
@@ -153,7 +153,7 @@
         let counts = &relay.counts;
         let [packets, lost, streams] =
             [&counts.carried, &counts.lost, &counts.streams].map(|c| c.load(Ordering::Relaxed));
-        book.write(FleetEvent::Carried { from, to, packets, lost, streams });
+        book.write(FleetEvent::Traffic { from, to, packets, lost, connections: streams });
     }
     watch.abort();
     let lateness = f64::from_bits(lateness.load(Ordering::Relaxed));
@@ -182,7 +182,7 @@
                         FleetEvent::Began { from, dest }
                     }
                     Event::Answered { call, wait_ms: Some(wait), .. } => {
-                        FleetEvent::Waits { who: from, dest: *dests.get(&call)?, wait }
+                        FleetEvent::WaitReturned { process: from, dest: *dests.get(&call)?, wait_ms: wait }
                     }
                     _ => return None,
                 };
@@ -193,8 +193,8 @@
         ledger.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
     let terms = fleet_terms(scene, lateness);
-    let (breaches, reach) = (judge_fleet(&terms, scene.size, &ledger), judge_reach(&terms, &ledger));
-    let returns = judge_returns(&terms, scene.size, &ledger);
+    let (breaches, reach) = (judge_fleet(&terms, scene.size, &ledger), judge_limit(&terms, &ledger));
+    let returns = judge_outages(&terms, scene.size, &ledger);
     Ok(FleetPlayed { breaches, rules, taken_on, crashed, lateness, reach, returns, ledger })
 }
 
@@ -233,7 +233,7 @@
 
 /// What the protocol promises, by its period: a round of probes, the longest suspicion (four times its least, three
 /// periods times a logarithm), two lost probes, and for agreement the settling and the hold-down of those that flapped.
-fn fleet_terms(scene: &FleetScene, lateness: f64) -> FleetTerms {
+fn fleet_terms(scene: &FleetScene, lateness: f64) -> FleetParams {
     let period = scene.period as f64;
     let known = (scene.size as f64 + 18.0) * period;
     // Two periods, seen through looks that are some time apart.
@@ -244,18 +244,29 @@
     // A wait that is long is of a door that is shut (a quarter of what it takes to get warm); it is told on to three in
     // each quarter of a period, and a packet may be lost.
     let (shut, heard) = (FAIL_BACK[3] / 4.0, 4.0 * period);
-    let cold = Cold {
+    let cold = ColdStart {
         // Its own calls fail by their time, three in a row, and the word of it goes round.
-        found: FOUND + heard,
-        start: FAIL_BACK[2],
-        warm: FAIL_BACK[3],
-        tries: TRIES * period,
-        late: lateness,
+        detect_ms: FOUND + heard,
+        start_capacity: FAIL_BACK[2],
+        warm_up_ms: FAIL_BACK[3],
+        probe_interval_ms: TRIES * period,
+        clock_slack_ms: lateness,
     };
     let slack = 200.0 + 4.0 * lateness;
     // Within its last tenth somebody is seen to hold each duty.
     let duties = (scene.duties, scene.end * 0.9);
-    FleetTerms { known, known_few, agreed, settled, forgotten, shut, heard, duties, cold, slack }
+    FleetParams {
+        detect_ms: known,
+        detect_minority_ms: known_few,
+        agree_ms: agreed,
+        settle_ms: settled,
+        duplicate_expiry_ms: forgotten,
+        long_wait_ms: shut,
+        wait_spread_ms: heard,
+        duties,
+        recovery: cold,
+        clock_slack_ms: slack,
+    }
 }
 
 struct Acting<'a> {
@@ -303,7 +314,7 @@
                 for (_, _, relay) in self.fleet.links() {
                     relay.set(Weather { cut: relay.weather().cut, ..*weather });
                 }
-                self.book.write(FleetEvent::Weather { rough: *weather != Weather::default() });
+                self.book.write(FleetEvent::LinkQuality { degraded: *weather != Weather::default() });
             }
             FleetAct::Link(from, to, weather) => {
                 if let Some(relay) = &self.fleet.relays[*from][*to] {
@@ -318,30 +329,31 @@
                 for (from, to) in links {
                     self.book.write(FleetEvent::Link { from, to, open: true });
                 }
-                self.book.write(FleetEvent::Weather { rough: false });
+                self.book.write(FleetEvent::LinkQuality { degraded: false });
             }
             FleetAct::Stall(n, span) if !self.down.contains(n) => {
                 self.fleet.seats[*n].process.signal("STOP").await?;
-                self.book.write(FleetEvent::Stopped(*n));
+                self.book.write(FleetEvent::Paused(*n));
                 self.later.push((Instant::now() + ms(*span), Later::Wake(*n)));
             }
             FleetAct::Kill(n) if self.down.insert(*n) => {
                 self.fleet.seats[*n].process.kill().await?;
-                self.book.write(FleetEvent::Ended(*n));
+                self.book.write(FleetEvent::Exited(*n));
             }
             FleetAct::Terminate(n) if self.down.insert(*n) => {
                 let process = &mut self.fleet.seats[*n].process;
                 // One that is stopped would not see it.
                 process.signal("CONT").await?;
                 process.signal("TERM").await?;
-                self.book.write(FleetEvent::Ended(*n));
-                if process.exited(Duration::from_millis(3700)).await.is_err() {
+                self.book.write(FleetEvent::Exited(*n));
+                if process.wait_exit(Duration::from_millis(3700)).await.is_err() {
                     process.kill().await?;
                 }
             }
             FleetAct::Start(n, folder) if self.down.remove(n) => {
                 let held = std::fs::read(&self.identities[*n].1).ok().and_then(|text| boot_in(&text));
-                held.into_iter().for_each(|boot| self.book.write(FleetEvent::Written { who: *n, boot }));
+                held.into_iter()
+                    .for_each(|boot| self.book.write(FleetEvent::BootStored { process: *n, boot }));
                 self.fleet.seats[*n].start_again(*folder)?;
                 self.book.write(FleetEvent::Started(*n));
             }
@@ -388,11 +400,11 @@
             FleetAct::Busy(n) => self.busy.store(*n, Ordering::Relaxed),
             FleetAct::Disk(n, full) => {
                 self.fleet.seats[*n].fill_disk(*full)?;
-                self.book.write(FleetEvent::Disk { who: *n, full: *full });
+                self.book.write(FleetEvent::Disk { process: *n, full: *full });
             }
             FleetAct::Twin(n, span) => {
                 let program = self.programs[n % self.programs.len().max(1)];
-                self.book.write(FleetEvent::Twin { who: *n, lives: true });
+                self.book.write(FleetEvent::Duplicate { process: *n, running: true });
                 let seat = self.fleet.twin(self.scene, *n, program).await?;
                 let mut looks = JoinSet::new();
                 let (control, book, identities) =
@@ -403,7 +415,7 @@
                     control,
                     identities,
                     book,
-                    FleetEvent::TwinTold,
+                    FleetEvent::DuplicateClaimed,
                     false,
                 ));
                 self.twins.insert(*n, (seat, looks));
@@ -417,7 +429,7 @@
                     _ => self.fleet.rename(self.scene, None)?,
                 }
                 self.book.write(match act {
-                    FleetAct::Limit(calls) => FleetEvent::Limit { calls: *calls },
+                    FleetAct::Limit(calls) => FleetEvent::Limit { calls_per_sec: *calls },
                     _ => FleetEvent::Roster { version: self.fleet.version() },
                 });
                 for n in (0..self.scene.size).filter(|n| !self.down.contains(n)) {
@@ -453,14 +465,14 @@
                 Later::Wake(n) => {
                     if !self.down.contains(&n) {
                         // Before it runs: what it says then must hold.
-                        self.book.write(FleetEvent::Woken(n));
+                        self.book.write(FleetEvent::Resumed(n));
                         self.fleet.seats[n].process.signal("CONT").await?;
                     }
                 }
                 Later::Back(seats, dest) => {
                     for seat in &seats {
                         let dests = &self.fleet.seats[*seat].stage.dests;
-                        dests.get(dest).into_iter().for_each(|dest| dest.come_back(FAIL_BACK[3]));
+                        dests.get(dest).into_iter().for_each(|dest| dest.recover(FAIL_BACK[3]));
                     }
                     if seats.len() == self.scene.size {
                         self.book.write(FleetEvent::Outage { dest: FIRST_DEST + dest as u64, back: true });
@@ -470,7 +482,7 @@
                     if let Some((mut seat, mut looks)) = self.twins.remove(&n) {
                         looks.shutdown().await;
                         seat.process.kill().await?;
-                        self.book.write(FleetEvent::Twin { who: n, lives: false });
+                        self.book.write(FleetEvent::Duplicate { process: n, running: false });
                     }
                 }
                 Later::Cut { one, cut, every, until } => {
@@ -543,13 +555,13 @@
                 let held = std::fs::read(path).ok().and_then(|text| boot_in(&text));
                 if let Some(boot) = held.filter(|boot| *boot > seen[n]) {
                     seen[n] = boot;
-                    book.write(FleetEvent::Written { who: *of, boot });
+                    book.write(FleetEvent::BootStored { process: *of, boot });
                 }
             }
             let life = usize::try_from(claim.boots.get(who).copied().unwrap_or(0)).unwrap_or(0);
             book.write(told(claim));
             if duties && let Ok(Some(held)) = timeout(ANSWER, holds(who, life, &control)).await {
-                held.into_iter().for_each(|claim| book.write(FleetEvent::Holds(claim)));
+                held.into_iter().for_each(|claim| book.write(FleetEvent::DutyClaimed(claim)));
             }
         }
         sleep(ASK_EVERY).await;
@@ -557,16 +569,16 @@
 }
 
 /// What a process says that it holds.
-async fn holds(who: usize, life: usize, control: &Path) -> Option<Vec<Holds>> {
+async fn holds(who: usize, life: usize, control: &Path) -> Option<Vec<DutyClaim>> {
     let told = asked(control, "{\"ask\":\"duties\"}\n").await?;
     let at = told["at"].as_u64()?;
     let one = |duty: &Value| {
-        Some(Holds {
-            who,
+        Some(DutyClaim {
+            process: who,
             life,
             duty: duty["name"].as_str()?.to_owned(),
             token: duty["token"].as_u64()?,
-            span: [at, duty["held_until"].as_u64()?],
+            valid_us: [at, duty["held_until"].as_u64()?],
             step: duty["step"].as_u64()?,
         })
     };
@@ -605,14 +617,14 @@
     };
     let marked = |key: &str| (0..size).filter(|n| member(*n).is_some_and(|m| m[key] == true)).collect();
     Some(Claim {
-        who,
-        span: [told["at"].as_u64()?, told["until"].as_u64()?],
+        process: who,
+        valid_us: [told["at"].as_u64()?, told["until"].as_u64()?],
         standing: told["standing"].as_str()?.to_owned(),
-        acts: may("hold_duty") || may("configure"),
+        may_act: may("hold_duty") || may("configure"),
         serves: [may("take_on"), may("send_on"), may("ready")],
         view: told["view"].as_str()?.to_owned(),
         voters: marked("votes"),
-        there: marked("in_view"),
+        members: marked("in_view"),
         states: (0..size).map(state).collect(),
         senders: usize::try_from(told["senders"].as_u64()?).ok()?,
         boots: (0..size).map(boot).collect(),
@@ -646,12 +658,12 @@
             dest: FIRST_DEST + place as u64,
             owner: "acme".to_owned(),
             deadline_ms,
-            body: rng.random_range(0..300),
+            body_bytes: rng.random_range(0..300),
         };
         let ledger = ledger.clone();
-        dest.expect(&message.id, ledger.now() + deadline_ms as f64);
+        dest.set_deadline(&message.id, ledger.now() + deadline_ms as f64);
         clients.spawn(async move {
-            hand_in(to, &message, Patience::default(), &ledger).await;
+            submit(to, &message, ClientOptions::default(), &ledger).await;
         });
         while clients.try_join_next().is_some() {}
     }
--- a/crates/rig/src/fleet/stage.rs
+++ b/crates/rig/src/fleet/stage.rs
@@ -12,10 +12,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::task::JoinSet;
-use yarrowhill_checker::{Effect, Event, Life, Terms};
+use yarrowhill_checker::{Effect, Event, ForwarderState, RuleParams};
 use yarrowhill_standins::{
-    Class, Endpoint, Faults, Figures, Ledger, Process, Rng, Room, Setup, configuration, free_address,
-    is_ready,
+    Class, ConfigParams, Endpoint, Faults, Ledger, Process, Resources, Rng, Setup, configuration,
+    free_address, is_ready,
 };
 
 /// The classes of all messages.
@@ -66,18 +66,18 @@
 }
 
 /// The terms of the six rules for what one process does.
-pub(super) fn terms(lateness: f64) -> Terms {
-    let usual = Terms::default();
+pub(super) fn terms(lateness: f64) -> RuleParams {
+    let usual = RuleParams::default();
     let classes = [(CLASSES[0].name, Effect::Keyed(KEY_LIFE)), (CLASSES[1].name, Effect::Unsafe)];
     let [fall_multiple, fall_for, start_capacity, warm_after] = FAIL_BACK;
-    Terms {
+    RuleParams {
         classes: classes.into_iter().map(|(name, effect)| (name.to_owned(), effect)).collect(),
         // An answer passes a process and a stand-in, and each may have been as late as the rig's own clocks were.
-        slack: usual.slack + 2.0 * lateness,
-        fall_multiple,
-        fall_for,
+        clock_slack_ms: usual.clock_slack_ms + 2.0 * lateness,
+        overload_multiple: fall_multiple,
+        overload_for_ms: fall_for,
         start_capacity,
-        warm_after,
+        warm_up_ms: warm_after,
         ..usual
     }
 }
@@ -269,24 +269,25 @@
             faults: faults.clone(),
         };
         let stage = stage(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
-        let figures = Figures {
+        let figures = ConfigParams {
             classes: CLASSES.to_vec(),
-            key_life_ms: KEY_LIFE,
-            aim_ms: 400.0,
+            key_ttl_ms: KEY_LIFE,
+            goal_time_ms: 400.0,
             slots: 32,
             fail_back: FAIL_BACK,
             seed: rng.random(),
-            room: Room::default(),
+            resources: Resources::default(),
         };
         let mut config = configuration(&figures, free_address()?, stage.discovery.addr, &stage.lines);
         config["name"] = format!("n{n}").into();
         config["fleet"] = "fleet.kdl".into();
         config["settings"]["peersTotal"] = json!(size);
         let (program, folder) = (program.into(), folder.into());
-        let setup = Setup { program, folder, env: Vec::new(), file_most: None, descriptors };
+        let setup =
+            Setup { program, folder, env: Vec::new(), max_file_bytes: None, max_descriptors: descriptors };
         let process = match waits {
             true => Process::start(setup, &config, &ledger).await?,
-            false => Process::begin(setup, &config, &ledger)?,
+            false => Process::spawn(setup, &config, &ledger)?,
         };
         let mut seat = Seat { process, ledger, stage, config, identities: Vec::new(), registers: Vec::new() };
         seat.remember();
@@ -353,12 +354,12 @@
         }
         let (rev, lines) = (self.stage.discovery.rev(), self.stage.discovery.lines());
         self.config["known"] = json!({"rev": rev, "all": true, "targets": lines});
-        self.process.spawn_again(&self.config)?;
+        self.process.respawn(&self.config)?;
         let (addr, ledger) = (self.process.addr, self.ledger.clone());
         tokio::spawn(async move {
             for _ in 0..2000 {
                 if is_ready(addr).await {
-                    return ledger.write(Event::Forwarder(Life::Ready));
+                    return ledger.write(Event::Forwarder(ForwarderState::Ready));
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
-use yarrowhill_checker::{Account, Breach, Effect, Heard, Rule, Terms, accounts, judge};
+use yarrowhill_checker::{Account, Breach, ClientOutcome, Effect, Rule, RuleParams, accounts, judge};
 use yarrowhill_standins::{
-    Class, Faults, Figures, Ledger, Message, Patience, Process, Rng, Room, Session, Setup, configuration,
-    free_address,
+    Class, ClientOptions, ConfigParams, Faults, Ledger, Message, Process, Resources, Rng, Session, Setup,
+    configuration, free_address,
 };
 
 /// After its end a message may come again this much later (ms).
@@ -128,14 +128,14 @@
     let mut rng = Rng::seed_from_u64(load.seed);
     let Stage { discovery, lines, endpoints, .. } = stage(&list, &mut rng, &ledger).await?;
     let class = |name, idempotency| Class { name, idempotency, deadline_ms: load.deadline_ms };
-    let figures = Figures {
+    let figures = ConfigParams {
         classes: vec![class(KEYED, "token"), class(UNSAFE, "side_effect")],
-        key_life_ms: 15_000.0,
-        aim_ms: load.deadline_ms as f64 / 4.0,
+        key_ttl_ms: 15_000.0,
+        goal_time_ms: load.deadline_ms as f64 / 4.0,
         slots: 128,
         fail_back: [2.0, 1000.0, 0.2, 2000.0],
         seed: load.seed,
-        room: Room { sockets: 1024, disk_mb: load.disk_mb, open_cap: 4000 },
+        resources: Resources { sockets: 1024, disk_mb: load.disk_mb, max_open: 4000 },
     };
     let mut config = configuration(&figures, free_address()?, discovery.addr, &lines);
     let mut shards = load.shards.iter().copied();
@@ -144,8 +144,8 @@
         program: program.into(),
         folder: folder.into(),
         env: Vec::new(),
-        file_most: None,
-        descriptors: None,
+        max_file_bytes: None,
+        max_descriptors: None,
     };
     let mut process = Process::start(setup, &config, &ledger).await?;
     config["known"] = serde_json::json!({"rev": discovery.rev(), "all": true, "targets": lines});
@@ -166,7 +166,7 @@
             }
             process.restart(&config, "").await?;
         }
-        crashed = process.ended()?.map(|status| format!("the program ended: {status}"));
+        crashed = process.try_exit_status()?.map(|status| format!("the program ended: {status}"));
         let over = clients.is_empty() || clients.try_join_next().is_some_and(|_| clients.is_empty());
         if over && process_is_idle(&ledger) {
             break;
@@ -179,10 +179,10 @@
     drop(endpoints);
     let entries = ledger.entries();
     let lateness = f64::from_bits(lateness.load(Ordering::Relaxed));
-    let terms = Terms {
+    let terms = RuleParams {
         classes: [(KEYED.to_owned(), Effect::Keyed(15_000.0)), (UNSAFE.to_owned(), Effect::Unsafe)].into(),
-        slack: 60.0 + lateness,
-        ..Terms::default()
+        clock_slack_ms: 60.0 + lateness,
+        ..RuleParams::default()
     };
     let (again, heard) = second_answers(&entries);
     Ok(Loaded {
@@ -205,10 +205,10 @@
     let (mut again, mut all) = (BTreeMap::new(), 0);
     let mut seen: std::collections::HashSet<&str> = Default::default();
     for entry in entries {
-        let yarrowhill_checker::Event::Heard { id, answer } = &entry.event else { continue };
+        let yarrowhill_checker::Event::ClientDone { id, outcome: answer } = &entry.event else { continue };
         all += 1;
         if !seen.insert(id) {
-            let status = if let Heard::Status(status) = answer { *status } else { 0 };
+            let status = if let ClientOutcome::Status(status) = answer { *status } else { 0 };
             *again.entry(status).or_default() += 1;
         }
     }
@@ -244,11 +244,11 @@
             dest: 10 + rng.random_range(0..load.dests as u64),
             owner: "acme".to_owned(),
             deadline_ms: load.deadline_ms,
-            body: 200,
+            body_bytes: 200,
         };
         let up = ledger.now() + load.deadline_ms as f64;
-        let (heard, _) = session.hand_in(&message, Patience::default()).await;
-        if heard == Heard::Status(202) && class == UNSAFE && rng.random_bool(load.again) {
+        let (heard, _) = session.submit(&message, ClientOptions::default()).await;
+        if heard == ClientOutcome::Status(202) && class == UNSAFE && rng.random_bool(load.again) {
             later.push_back((Instant::now() + AGAIN_AFTER, message, up));
         }
     }
@@ -263,7 +263,7 @@
     let left = up - ledger.now();
     if left > LEFT_LEAST {
         message.deadline_ms = left as u64;
-        session.hand_in(&message, Patience::default()).await;
+        session.submit(&message, ClientOptions::default()).await;
     }
 }
 
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
-use yarrowhill_checker::{Account, Breach, Entry, FleetBreach, Heard, Rule, accounts, judge};
+use yarrowhill_checker::{Account, Breach, ClientOutcome, Entry, FleetBreach, Rule, accounts, judge};
 use yarrowhill_standins::{
-    Destination, Discovery, Endpoint, Ledger, Line, Message, Patience, Process, Rng, Setup, free_address,
-    hand_in,
+    ClientOptions, Destination, Discovery, Endpoint, EndpointLine, Ledger, Message, Process, Rng, Setup,
+    free_address, submit,
 };
 
 /// A run whose own clocks were later than this (ms) judges nobody.
@@ -76,7 +76,7 @@
     pub(crate) dests: Vec<Destination>,
     pub(crate) endpoints: Vec<Vec<Option<Endpoint>>>,
     pub(crate) discovery: Discovery,
-    pub(crate) lines: Vec<Line>,
+    pub(crate) lines: Vec<EndpointLine>,
 }
 
 /// Starts destinations with their endpoints, and a discovery that lists them.
@@ -90,7 +90,7 @@
             let uid = format!("s-{}-{n}", d.number);
             let endpoint = Endpoint::start(&uid, loopback(), &dest).await?;
             let kind = if d.batches { "several" } else { "plain" };
-            lines.push(Line::new(&uid, endpoint.addr, d.number, kind, d.limit));
+            lines.push(EndpointLine::new(&uid, endpoint.addr, d.number, kind, d.limit));
             own.push(Some(endpoint));
         }
         dests.push(dest);
@@ -118,8 +118,8 @@
         program: program.into(),
         folder: folder.into(),
         env,
-        file_most: script.file_most,
-        descriptors: None,
+        max_file_bytes: script.file_most,
+        max_descriptors: None,
     };
     let process = Process::start(setup, &config, &ledger).await?;
     let start = Instant::now();
@@ -169,10 +169,10 @@
             }
             if !healed && now >= start + ms(script.traffic()) {
                 healed = true;
-                self.dests.iter().for_each(Destination::heal);
+                self.dests.iter().for_each(Destination::clear_faults);
                 self.discovery.drop_notices(0);
             }
-            if let Some(status) = self.process.ended()? {
+            if let Some(status) = self.process.try_exit_status()? {
                 if script.die.is_none() {
                     return Ok(Some(format!("the program ended: {status}")));
                 }
@@ -196,14 +196,14 @@
             }
             Act::Terminate => {
                 self.process.signal("TERM").await?;
-                if self.process.exited(TERM_MOST).await.is_err() {
+                if self.process.wait_exit(TERM_MOST).await.is_err() {
                     self.process.kill().await?;
                 }
                 sleep(AGAIN).await;
                 self.restart("").await?;
             }
             Act::Reload => {
-                let twin = self.discovery.twin().await?;
+                let twin = self.discovery.start_replica().await?;
                 self.config["discovery"] = twin.addr.to_string().into();
                 self.process.reload(&self.config).await?;
                 let old = std::mem::replace(&mut self.discovery, twin);
@@ -219,13 +219,13 @@
             }
             Act::Replace { dest, endpoint, drains } => {
                 if let Some(old) = &self.endpoints[*dest][*endpoint] {
-                    self.discovery.stands(&old.uid, "terminating");
+                    self.discovery.set_state(&old.uid, "terminating");
                     let gone = Later::Gone { dest: *dest, endpoint: *endpoint };
                     self.later.push((Instant::now() + ms(*drains), gone));
                 }
             }
             Act::Stale(span) => {
-                self.discovery.silent(true);
+                self.discovery.set_silent(true);
                 self.later.push((Instant::now() + ms(*span), Later::Talk));
             }
             Act::DropNotices(nth) => self.discovery.drop_notices(*nth),
@@ -236,19 +236,19 @@
     /// The platform tells a new process the list as this forwarder last had it.
     async fn restart(&mut self, without: &str) -> io::Result<()> {
         let (rev, lines) = (self.discovery.rev(), self.discovery.lines());
-        let known: Vec<Line> = lines.into_iter().filter(|l| l.state != "terminated").collect();
+        let known: Vec<EndpointLine> = lines.into_iter().filter(|l| l.state != "terminated").collect();
         self.config["known"] = serde_json::json!({"rev": rev, "all": true, "targets": known});
         self.process.restart(&self.config, without).await
     }
 
     async fn finish(&mut self, later: Later) -> io::Result<()> {
         match later {
-            Later::Back(dest) => self.dests[dest].come_back(2000.0),
-            Later::Talk => self.discovery.silent(false),
+            Later::Back(dest) => self.dests[dest].recover(2000.0),
+            Later::Talk => self.discovery.set_silent(false),
             Later::Gone { dest, endpoint } => {
                 let Some(old) = self.endpoints[dest][endpoint].take() else { return Ok(()) };
                 let (uid, addr) = (old.uid.clone(), old.addr);
-                self.discovery.stands(&uid, "terminated");
+                self.discovery.set_state(&uid, "terminated");
                 drop(old);
                 // Its connections end with it; then another stands at its address.
                 sleep(Duration::from_millis(20)).await;
@@ -257,7 +257,7 @@
                 // The port may have gone to somebody else meanwhile: then nobody stands there.
                 if let (Some(line), Ok(new)) = (line, new) {
                     let state = "in_service".to_owned();
-                    self.discovery.list(Line { uid: new.uid.clone(), state, ..line });
+                    self.discovery.set_line(EndpointLine { uid: new.uid.clone(), state, ..line });
                     self.endpoints[dest][endpoint] = Some(new);
                 }
             }
@@ -291,12 +291,12 @@
             dest: script.dests[place].number,
             owner: "acme".to_owned(),
             deadline_ms,
-            body: rng.random_range(0..600),
+            body_bytes: rng.random_range(0..600),
         };
         let [leaves, half, twice] = script.clients;
-        let patience = Patience {
-            wait_ms: if rng.random_bool(leaves) { rng.random_range(1..=10) } else { 400 },
-            half: rng.random_bool(half),
+        let patience = ClientOptions {
+            timeout_ms: if rng.random_bool(leaves) { rng.random_range(1..=10) } else { 400 },
+            abort_midway: rng.random_bool(half),
         };
         let twice = rng.random_bool(twice);
         let (dest, ledger) = (dests[place].clone(), ledger.clone());
@@ -308,37 +308,37 @@
 async fn client(
     to: SocketAddr,
     mut message: Message,
-    patience: Patience,
+    patience: ClientOptions,
     twice: bool,
     dest: &Destination,
     ledger: &Ledger,
 ) {
     let first = ledger.now();
     let up = first + message.deadline_ms as f64;
-    dest.expect(&message.id, up);
+    dest.set_deadline(&message.id, up);
     let (heard, wait) = if twice {
-        let whole = Patience { half: false, ..patience };
-        let (a, _) = tokio::join!(hand_in(to, &message, whole, ledger), hand_in(to, &message, whole, ledger));
+        let whole = ClientOptions { abort_midway: false, ..patience };
+        let (a, _) = tokio::join!(submit(to, &message, whole, ledger), submit(to, &message, whole, ledger));
         // The same message, handed in once more later.
         sleep(Duration::from_millis(150)).await;
-        hand_in(to, &message, whole, ledger).await;
+        submit(to, &message, whole, ledger).await;
         a
     } else {
-        hand_in(to, &message, patience, ledger).await
+        submit(to, &message, patience, ledger).await
     };
     let pause = match heard {
-        Heard::Status(429 | 503) => wait.unwrap_or(200.0),
-        Heard::Left => 50.0,
-        Heard::Broken => 300.0,
-        Heard::Status(_) => return,
+        ClientOutcome::Status(429 | 503) => wait.unwrap_or(200.0),
+        ClientOutcome::Left => 50.0,
+        ClientOutcome::Broken => 300.0,
+        ClientOutcome::Status(_) => return,
     };
     sleep(ms(pause)).await;
     let left = up - ledger.now();
     if left > 100.0 {
         message.id.push_str("-again");
         message.deadline_ms = left as u64;
-        dest.expect(&message.id, up);
-        hand_in(to, &message, Patience::default(), ledger).await;
+        dest.set_deadline(&message.id, up);
+        submit(to, &message, ClientOptions::default(), ledger).await;
     }
 }
 
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use yarrowhill_checker::{Effect, Terms};
+use yarrowhill_checker::{Effect, RuleParams};
 use yarrowhill_faults::Point;
-use yarrowhill_standins::{Class, Faults, Figures, Line, Rng, Room, configuration};
+use yarrowhill_standins::{Class, ConfigParams, EndpointLine, Faults, Resources, Rng, configuration};
 
 const CLASSES: [Class; 2] = [
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 2500 },
@@ -111,14 +111,14 @@
                     limit: rng.random_range(12.0..60.0),
                     faults: Faults {
                         error: some(&mut rng, 0.3, 0.1),
-                        spoilt: some(&mut rng, 0.4, 0.2),
+                        malformed: some(&mut rng, 0.4, 0.2),
                         silent: some(&mut rng, 0.4, 0.08),
                         late: some(&mut rng, 0.4, 0.15),
                         reset: some(&mut rng, 0.3, 0.1),
-                        copy: some(&mut rng, 0.3, 0.2),
-                        copy_after: some(&mut rng, 0.5, 300.0),
+                        duplicate: some(&mut rng, 0.3, 0.2),
+                        duplicate_within_ms: some(&mut rng, 0.5, 300.0),
                         mixed: some(&mut rng, 0.5, 0.4),
-                        last_moment: some(&mut rng, 0.2, 0.1),
+                        just_in_time: some(&mut rng, 0.2, 0.1),
                     },
                 }
             })
@@ -210,15 +210,15 @@
     }
 
     /// The configuration file.
-    pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, lines: &[Line]) -> Value {
-        let figures = Figures {
+    pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, lines: &[EndpointLine]) -> Value {
+        let figures = ConfigParams {
             classes: CLASSES.to_vec(),
-            key_life_ms: KEY_LIFE,
-            aim_ms: 500.0,
+            key_ttl_ms: KEY_LIFE,
+            goal_time_ms: 500.0,
             slots: 24,
             fail_back: [FALL_MULTIPLE, FALL_FOR, START_CAPACITY, WARM],
             seed: self.seed,
-            room: Room::default(),
+            resources: Resources::default(),
         };
         let mut config = configuration(&figures, listen, discovery, lines);
         config["shards"] = self.shards.into();
@@ -226,18 +226,18 @@
     }
 
     /// The figures by which it is judged.
-    pub fn terms(&self, lateness: f64) -> Terms {
+    pub fn terms(&self, lateness: f64) -> RuleParams {
         let effect = |kind: &str| if kind == "token" { Effect::Keyed(KEY_LIFE) } else { Effect::Unsafe };
-        Terms {
+        RuleParams {
             classes: CLASSES.iter().map(|c| (c.name.to_owned(), effect(c.idempotency))).collect(),
-            fall_multiple: FALL_MULTIPLE,
-            fall_for: FALL_FOR,
+            overload_multiple: FALL_MULTIPLE,
+            overload_for_ms: FALL_FOR,
             start_capacity: START_CAPACITY,
-            warm_after: WARM,
+            warm_up_ms: WARM,
             // Half of what the platform allows: the module sends nothing from the moment that it hears.
-            drain_grace: 1000.0,
-            slack: 60.0 + lateness,
-            ..Terms::default()
+            drain_grace_ms: 1000.0,
+            clock_slack_ms: 60.0 + lateness,
+            ..RuleParams::default()
         }
     }
 }
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use yarrowhill_checker::{Event, Heard};
+use yarrowhill_checker::{ClientOutcome, Event};
 
 /// A message to hand in.
 #[derive(Clone, Debug)]
@@ -22,33 +22,33 @@
     /// How long it may be delivered (ms).
     pub deadline_ms: u64,
     /// Bytes of its body.
-    pub body: usize,
+    pub body_bytes: usize,
 }
 
 /// How long a client waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct ClientOptions {
     /// It leaves after this time (ms).
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
     /// It stops halfway through its request and leaves.
-    pub half: bool,
+    pub abort_midway: bool,
 }
 
-impl Default for Patience {
+impl Default for ClientOptions {
     /// 400 ms, as PROTOCOL has it.
     fn default() -> Self {
-        Patience { wait_ms: 400, half: false }
+        ClientOptions { timeout_ms: 400, abort_midway: false }
     }
 }
 
 /// Hands a message in on a connection of its own. Gives what it heard, and the wait that it was told (ms).
-pub async fn hand_in(
+pub async fn submit(
     to: SocketAddr,
     message: &Message,
-    patience: Patience,
+    patience: ClientOptions,
     ledger: &Ledger,
-) -> (Heard, Option<f64>) {
-    Session::new(to, ledger).hand_in(message, patience).await
+) -> (ClientOutcome, Option<f64>) {
+    Session::new(to, ledger).submit(message, patience).await
 }
 
 /// A client that keeps its connection, one request at a time.
@@ -66,23 +66,30 @@
     }
 
     /// Hands a message in. Gives what it heard, and the wait that it was told (ms).
-    pub async fn hand_in(&mut self, message: &Message, patience: Patience) -> (Heard, Option<f64>) {
+    pub async fn submit(
+        &mut self,
+        message: &Message,
+        patience: ClientOptions,
+    ) -> (ClientOutcome, Option<f64>) {
         let request = request(message);
         let Message { id, class, dest, deadline_ms, .. } = message;
         // Its time counts from here, whether or not anybody listens.
         self.ledger.write(Event::sent(id, class, *dest, *deadline_ms as f64));
-        let wait = Duration::from_millis(patience.wait_ms);
-        let answer = timeout(wait, self.exchange(&request, patience.half)).await;
+        let wait = Duration::from_millis(patience.timeout_ms);
+        let answer = timeout(wait, self.exchange(&request, patience.abort_midway)).await;
         let (heard, wait) = match answer {
-            Err(_) => (Heard::Left, None),
-            Ok(None) if patience.half => (Heard::Left, None),
-            Ok(None) => (Heard::Broken, None),
+            Err(_) => (ClientOutcome::Left, None),
+            Ok(None) if patience.abort_midway => (ClientOutcome::Left, None),
+            Ok(None) => (ClientOutcome::Broken, None),
             Ok(Some(answer)) => {
                 let wait = answer.header("retry-after").and_then(|w| w.parse::<f64>().ok());
-                (answer.status().map_or(Heard::Broken, Heard::Status), wait.map(|s| s * 1000.0))
+                (
+                    answer.status().map_or(ClientOutcome::Broken, ClientOutcome::Status),
+                    wait.map(|s| s * 1000.0),
+                )
             }
         };
-        self.ledger.write(Event::Heard { id: id.clone(), answer: heard });
+        self.ledger.write(Event::ClientDone { id: id.clone(), outcome: heard });
         (heard, wait)
     }
 
@@ -114,7 +121,7 @@
 }
 
 fn request(message: &Message) -> Vec<u8> {
-    let Message { id, class, dest, owner, deadline_ms, body } = message;
+    let Message { id, class, dest, owner, deadline_ms, body_bytes: body } = message;
     let request = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nReq-Id: {id}\r\nReq-Owner: {owner}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\nIdempotency-Key: key-{id}\r\nEnvelope: dest={dest}\r\n\
--- a/crates/standins/src/config.rs
+++ b/crates/standins/src/config.rs
@@ -1,6 +1,6 @@
 //! Configurations in the platform's form (DEPLOY, "What a forwarder is told").
 
-use crate::discovery::Line;
+use crate::discovery::EndpointLine;
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
 
 /// The figures of a configuration that tests differ in.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct ConfigParams {
     /// Classes.
     pub classes: Vec<Class>,
     /// How long a key is remembered (ms).
-    pub key_life_ms: f64,
+    pub key_ttl_ms: f64,
     /// A message earns its full worth within this (ms).
-    pub aim_ms: f64,
+    pub goal_time_ms: f64,
     /// Calls out at once.
     pub slots: usize,
     /// The rule on returning destinations: multiple, for how long (ms), capacity at first, warm after (ms).
@@ -33,35 +33,40 @@
     /// The seed of the forwarder's own chance.
     pub seed: u64,
     /// What it may take.
-    pub room: Room,
+    pub resources: Resources,
 }
 
 /// What a forwarder may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct Resources {
     /// Descriptors.
     pub sockets: usize,
     /// Its disk (MB).
     pub disk_mb: f64,
     /// Messages that it may hold.
-    pub open_cap: usize,
+    pub max_open: usize,
 }
 
-impl Default for Room {
+impl Default for Resources {
     /// The least that the platform gives.
     fn default() -> Self {
-        Room { sockets: 256, disk_mb: 3.0, open_cap: 300 }
+        Resources { sockets: 256, disk_mb: 3.0, max_open: 300 }
     }
 }
 
 /// The configuration of a forwarder that listens at `listen`. Kinds are `plain` and `several` (20 in a call),
 /// the one owner is `acme`.
-pub fn configuration(figures: &Figures, listen: SocketAddr, discovery: SocketAddr, lines: &[Line]) -> Value {
+pub fn configuration(
+    figures: &ConfigParams,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    lines: &[EndpointLine],
+) -> Value {
     let class = |c: &Class| {
-        json!({"name": c.name, "idempotency": c.idempotency, "dedupScope": "all", "keyTtl": figures.key_life_ms,
-               "goalTime": figures.aim_ms, "deadline": c.deadline_ms as f64, "worth": 1.0, "lateShare": 0.4})
+        json!({"name": c.name, "idempotency": c.idempotency, "dedupScope": "all", "keyTtl": figures.key_ttl_ms,
+               "goalTime": figures.goal_time_ms, "deadline": c.deadline_ms as f64, "worth": 1.0, "lateShare": 0.4})
     };
-    let Room { sockets, disk_mb, open_cap } = figures.room;
+    let Resources { sockets, disk_mb, max_open: open_cap } = figures.resources;
     let [multiple, fall_for, start_capacity, warm_after] = figures.fail_back;
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -17,7 +17,7 @@
 
 /// One line of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct EndpointLine {
     /// Its name.
     pub uid: String,
     /// Its address.
@@ -36,10 +36,10 @@
     pub boot_ms: u64,
 }
 
-impl Line {
+impl EndpointLine {
     /// An endpoint in service, in zone `a`.
     pub fn new(uid: &str, at: SocketAddr, dest: u64, kind: &str, weight: f64) -> Self {
-        Line {
+        EndpointLine {
             uid: uid.to_owned(),
             endpoint: at,
             az: "a".to_owned(),
@@ -54,7 +54,7 @@
 
 #[derive(Debug)]
 struct State {
-    lines: BTreeMap<String, Line>,
+    lines: BTreeMap<String, EndpointLine>,
     /// The version at which each line last changed.
     changed: BTreeMap<String, u64>,
     rev: u64,
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// No port can be had.
-    pub async fn start(lines: Vec<Line>, ledger: Ledger) -> io::Result<Self> {
+    pub async fn start(lines: Vec<EndpointLine>, ledger: Ledger) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let changed = lines.iter().map(|l| (l.uid.clone(), 1)).collect();
@@ -121,7 +121,7 @@
     /// # Errors
     ///
     /// No port can be had.
-    pub async fn twin(&self) -> io::Result<Self> {
+    pub async fn start_replica(&self) -> io::Result<Self> {
         Discovery::start(self.lines(), self.ledger.clone()).await
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// The list as it stands.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<EndpointLine> {
         self.lock().lines.values().cloned().collect()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Adds a line or changes it.
-    pub fn list(&self, line: Line) {
+    pub fn set_line(&self, line: EndpointLine) {
         let mut state = self.lock();
         state.rev += 1;
         let rev = state.rev;
@@ -151,15 +151,15 @@
     }
 
     /// Changes how an endpoint stands: `in_service`, `terminating` or `terminated`.
-    pub fn stands(&self, uid: &str, state: &str) {
+    pub fn set_state(&self, uid: &str, state: &str) {
         let line = self.lock().lines.get(uid).cloned();
         if let Some(line) = line {
-            self.list(Line { state: state.to_owned(), ..line });
+            self.set_line(EndpointLine { state: state.to_owned(), ..line });
         }
     }
 
     /// Whether it is silent from now on; notices are acknowledged all the same.
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
         self.news.send_modify(|_| {});
     }
@@ -211,9 +211,9 @@
         let (text, told) = {
             let state = lock(state);
             let fresh = |uid: &str| index.is_none_or(|i| state.changed.get(uid).is_some_and(|c| *c > i));
-            let lines: Vec<&Line> = state.lines.values().filter(|l| fresh(&l.uid)).collect();
+            let lines: Vec<&EndpointLine> = state.lines.values().filter(|l| fresh(&l.uid)).collect();
             // Only changes name what is gone.
-            let lines: Vec<&Line> =
+            let lines: Vec<&EndpointLine> =
                 lines.into_iter().filter(|l| index.is_some() || l.state != "terminated").collect();
             let told: Vec<(String, String)> =
                 lines.iter().map(|l| (l.uid.clone(), l.state.clone())).collect();
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -17,39 +17,47 @@
 
 /// How an answer can be spoilt (or brings more than belongs to it).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Spoilt {
+pub enum Malformed {
     /// Bytes that are no answer.
-    Noise,
+    #[serde(rename = "Noise")]
+    Garbage,
     /// A first line that says 200, and a head that can't be read.
-    Head,
+    #[serde(rename = "Head")]
+    UnparsableHead,
     /// A head that does not end.
     EndlessHead,
     /// A length longer than what comes.
-    Length,
+    #[serde(rename = "Length")]
+    ShortBody,
     /// A body that is said to have 3 GB, and keeps coming.
-    Huge,
+    #[serde(rename = "Huge")]
+    HugeBody,
     /// The front of a good answer, and no more.
-    Cut,
+    #[serde(rename = "Cut")]
+    Truncated,
     /// A good answer with noise right behind.
-    NoiseBehind,
+    #[serde(rename = "NoiseBehind")]
+    TrailingGarbage,
     /// A good answer with a load report that can't be read.
-    Report,
+    #[serde(rename = "Report")]
+    UnparsableReport,
     /// A good answer behind interim ones.
-    Interim,
+    #[serde(rename = "Interim")]
+    InterimResponses,
 }
 
-impl Spoilt {
+impl Malformed {
     /// All of them.
-    pub const ALL: [Spoilt; 9] = [
-        Spoilt::Noise,
-        Spoilt::Head,
-        Spoilt::EndlessHead,
-        Spoilt::Length,
-        Spoilt::Huge,
-        Spoilt::Cut,
-        Spoilt::NoiseBehind,
-        Spoilt::Report,
-        Spoilt::Interim,
+    pub const ALL: [Malformed; 9] = [
+        Malformed::Garbage,
+        Malformed::UnparsableHead,
+        Malformed::EndlessHead,
+        Malformed::ShortBody,
+        Malformed::HugeBody,
+        Malformed::Truncated,
+        Malformed::TrailingGarbage,
+        Malformed::UnparsableReport,
+        Malformed::InterimResponses,
     ];
 }
 
@@ -59,7 +67,8 @@
     /// Answered with a fault: it may have run.
     pub error: f64,
     /// Answered with something spoilt.
-    pub spoilt: f64,
+    #[serde(rename = "spoilt")]
+    pub malformed: f64,
     /// Never answered; the connection stays open.
     pub silent: f64,
     /// Answered when the time of the first message in the call is just up: it counts for none.
@@ -67,13 +76,16 @@
     /// The connection is reset before the call is answered.
     pub reset: f64,
     /// A good answer, and the same again right behind.
-    pub copy: f64,
+    #[serde(rename = "copy")]
+    pub duplicate: f64,
     /// Such a copy comes after up to so long (ms), unless another call has begun by then.
-    pub copy_after: f64,
+    #[serde(rename = "copy_after")]
+    pub duplicate_within_ms: f64,
     /// Of a batch, some items are turned away, faulty or over.
     pub mixed: f64,
     /// Answered in the last moments before the time of the first message is up.
-    pub last_moment: f64,
+    #[serde(rename = "last_moment")]
+    pub just_in_time: f64,
 }
 
 /// What the endpoints of one destination share: its limit, its outage, its pace.
@@ -136,7 +148,7 @@
     }
 
     /// Tells when the time of a message is up: a late answer is timed by it.
-    pub fn expect(&self, id: &str, up: f64) {
+    pub fn set_deadline(&self, id: &str, up: f64) {
         self.lock().deadlines.insert(id.to_owned(), up);
     }
 
@@ -151,7 +163,7 @@
     }
 
     /// It is back, and warm after `warm` ms.
-    pub fn come_back(&self, warm: f64) {
+    pub fn recover(&self, warm: f64) {
         let now = self.ledger.now();
         let mut state = self.lock();
         state.down = None;
@@ -162,7 +174,7 @@
     }
 
     /// Ends all faults, so that what is open can end.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.lock().faults = Faults::default();
     }
 }
@@ -172,7 +184,7 @@
     Serve,
     Refuse(Option<f64>),
     Error,
-    Spoil(Spoilt),
+    Spoil(Malformed),
     Silent,
     Late,
     LastMoment,
@@ -206,17 +218,17 @@
         let f = self.faults.clone();
         if falls(f.error) {
             Fate::Error
-        } else if falls(f.spoilt) {
-            Fate::Spoil(Spoilt::ALL[self.rng.random_range(0..Spoilt::ALL.len())])
+        } else if falls(f.malformed) {
+            Fate::Spoil(Malformed::ALL[self.rng.random_range(0..Malformed::ALL.len())])
         } else if falls(f.silent) {
             Fate::Silent
         } else if falls(f.late) {
             Fate::Late
         } else if falls(f.reset) {
             Fate::Reset
-        } else if falls(f.copy) {
+        } else if falls(f.duplicate) {
             Fate::Copy
-        } else if falls(f.last_moment) {
+        } else if falls(f.just_in_time) {
             Fate::LastMoment
         } else if batch && falls(f.mixed) {
             Fate::Mixed
@@ -420,7 +432,7 @@
             let good = call.good();
             let after = {
                 let mut state = dest.lock();
-                let most = state.faults.copy_after;
+                let most = state.faults.duplicate_within_ms;
                 if most > 0.0 { state.rng.random_range(0.0..most) } else { 0.0 }
             };
             if after == 0.0 {
@@ -455,24 +467,24 @@
     timeout(Duration::from_secs_f64(ms / 1000.0), wire.closed()).await.is_err()
 }
 
-async fn spoil(wire: &mut Wire, call: &Call<'_>, how: Spoilt) -> io::Result<Next> {
+async fn spoil(wire: &mut Wire, call: &Call<'_>, how: Malformed) -> io::Result<Next> {
     let good = call.good();
     // For one message a first line with 200 is true, whatever follows.
     let by_line = if call.batch { CallEnd::MayHaveRun } else { CallEnd::Delivered };
     let (bytes, end): (Vec<u8>, CallEnd) = match how {
-        Spoilt::Noise => (b"\x00\x01\xffno answer\r\n\r\n".to_vec(), CallEnd::MayHaveRun),
-        Spoilt::Head => (b"HTTP/1.1 200 OK\r\n\x00: \x01\r\n\r\n".to_vec(), by_line),
-        Spoilt::EndlessHead => (b"HTTP/1.1 200 OK\r\nA: ".to_vec(), by_line),
-        Spoilt::Length => (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nshort".to_vec(), by_line),
-        Spoilt::Huge => (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n".to_vec(), by_line),
-        Spoilt::Cut => (good[..good.len() * 2 / 3].to_vec(), by_line),
-        Spoilt::NoiseBehind => ([&good[..], b"\x00noise"].concat(), CallEnd::Delivered),
-        Spoilt::Report => {
+        Malformed::Garbage => (b"\x00\x01\xffno answer\r\n\r\n".to_vec(), CallEnd::MayHaveRun),
+        Malformed::UnparsableHead => (b"HTTP/1.1 200 OK\r\n\x00: \x01\r\n\r\n".to_vec(), by_line),
+        Malformed::EndlessHead => (b"HTTP/1.1 200 OK\r\nA: ".to_vec(), by_line),
+        Malformed::ShortBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nshort".to_vec(), by_line),
+        Malformed::HugeBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n".to_vec(), by_line),
+        Malformed::Truncated => (good[..good.len() * 2 / 3].to_vec(), by_line),
+        Malformed::TrailingGarbage => ([&good[..], b"\x00noise"].concat(), CallEnd::Delivered),
+        Malformed::UnparsableReport => {
             let body = if call.batch { call.states(|_| "accepted") } else { Vec::new() };
             let report = [("Srv-Load", "x0=\u{fffd},x1=NaN,=,".to_owned())];
             (answer(200, &report, &body), CallEnd::Delivered)
         }
-        Spoilt::Interim => {
+        Malformed::InterimResponses => {
             let ahead = b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\n";
             ([&ahead[..], &good].concat(), CallEnd::Delivered)
         }
@@ -480,8 +492,8 @@
     wire.write(&bytes).await?;
     call.answered(end, None);
     match how {
-        Spoilt::Report | Spoilt::Interim => return Ok(Next::Call),
-        Spoilt::Huge => {
+        Malformed::UnparsableReport | Malformed::InterimResponses => return Ok(Next::Call),
+        Malformed::HugeBody => {
             // As long as anybody reads it, and no longer than a second.
             for _ in 0..100 {
                 wire.write(&[b'x'; 8192]).await?;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -17,10 +17,10 @@
 mod rng;
 mod wire;
 
-pub use client::{Message, Patience, Session, hand_in};
-pub use config::{Class, Figures, Room, configuration, free_address};
-pub use discovery::{Discovery, Line};
-pub use endpoint::{Destination, Endpoint, Faults, Spoilt};
+pub use client::{ClientOptions, Message, Session, submit};
+pub use config::{Class, ConfigParams, Resources, configuration, free_address};
+pub use discovery::{Discovery, EndpointLine};
+pub use endpoint::{Destination, Endpoint, Faults, Malformed};
 pub use ledger::Ledger;
 pub use process::{Process, Setup, is_ready};
 pub use rng::Rng;
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
-use yarrowhill_checker::{Event, Life};
+use yarrowhill_checker::{Event, ForwarderState};
 
 /// How the program is started.
 #[derive(Clone, Debug)]
@@ -23,9 +23,9 @@
     /// Further variables of its environment.
     pub env: Vec<(String, String)>,
     /// No file of its may grow longer than this (bytes): writes stop short there.
-    pub file_most: Option<u64>,
+    pub max_file_bytes: Option<u64>,
     /// No more descriptors than this.
-    pub descriptors: Option<u64>,
+    pub max_descriptors: Option<u64>,
 }
 
 /// The running program.
@@ -50,7 +50,7 @@
     ///
     /// It can't be started, or does not get ready.
     pub async fn start(setup: Setup, config: &Value, ledger: &Ledger) -> io::Result<Self> {
-        let mut process = Process::begin(setup, config, ledger)?;
+        let mut process = Process::spawn(setup, config, ledger)?;
         process.ready().await?;
         Ok(process)
     }
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// It can't be started.
-    pub fn begin(setup: Setup, config: &Value, ledger: &Ledger) -> io::Result<Self> {
+    pub fn spawn(setup: Setup, config: &Value, ledger: &Ledger) -> io::Result<Self> {
         std::fs::create_dir_all(setup.folder.join("state"))?;
         std::fs::write(setup.folder.join("config.json"), config.to_string())?;
         let addr = config["listen"].as_str().and_then(|a| a.parse().ok());
@@ -83,7 +83,7 @@
             }
         };
         timeout(START, asked).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        self.ledger.write(Event::Forwarder(Life::Ready));
+        self.ledger.write(Event::Forwarder(ForwarderState::Ready));
         Ok(())
     }
 
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// It can't be started.
-    pub fn spawn_again(&mut self, config: &Value) -> io::Result<()> {
+    pub fn respawn(&mut self, config: &Value) -> io::Result<()> {
         std::fs::write(self.setup.folder.join("config.json"), config.to_string())?;
         self.child = spawn(&self.setup)?;
         Ok(())
@@ -122,7 +122,7 @@
     ///
     /// It can't be waited for.
     pub async fn kill(&mut self) -> io::Result<()> {
-        self.ledger.write(Event::Forwarder(Life::Ending));
+        self.ledger.write(Event::Forwarder(ForwarderState::Ending));
         self.child.kill().await
     }
 
@@ -133,7 +133,7 @@
     /// `kill` can't be run.
     pub async fn signal(&self, name: &str) -> io::Result<()> {
         if name == "TERM" {
-            self.ledger.write(Event::Forwarder(Life::Ending));
+            self.ledger.write(Event::Forwarder(ForwarderState::Ending));
         }
         let pid = self.child.id().ok_or(io::ErrorKind::NotFound)?.to_string();
         Command::new("kill").args([&format!("-{name}"), &pid]).status().await.map(drop)
@@ -154,10 +154,10 @@
     /// # Errors
     ///
     /// It can't be waited for.
-    pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    pub fn try_exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         let ended = self.child.try_wait()?;
         if ended.is_some() {
-            self.ledger.write(Event::Forwarder(Life::Ending));
+            self.ledger.write(Event::Forwarder(ForwarderState::Ending));
         }
         Ok(ended)
     }
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// It does not end in `most`.
-    pub async fn exited(&mut self, most: Duration) -> io::Result<ExitStatus> {
+    pub async fn wait_exit(&mut self, most: Duration) -> io::Result<ExitStatus> {
         timeout(most, self.child.wait()).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
@@ -195,8 +195,8 @@
 fn spawn(setup: &Setup) -> io::Result<Child> {
     let log = std::fs::File::options().append(true).create(true).open(setup.folder.join("log"))?;
     // The shell's own limits: at that of files writes stop short, then fail.
-    let files = setup.file_most.map(|most| format!("trap '' XFSZ; ulimit -f {}; ", most / 512));
-    let descriptors = setup.descriptors.map(|most| format!("ulimit -n {most}; "));
+    let files = setup.max_file_bytes.map(|most| format!("trap '' XFSZ; ulimit -f {}; ", most / 512));
+    let descriptors = setup.max_descriptors.map(|most| format!("ulimit -n {most}; "));
     let limits: String = files.into_iter().chain(descriptors).collect();
     let mut command = match limits.is_empty() {
         true => Command::new(&setup.program),
--- a/crates/yarrowhill/src/demo.rs
+++ b/crates/yarrowhill/src/demo.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
-use yarrowhill_checker::{CallEnd, Effect, Entry, Event, Terms, accounts, judge};
+use yarrowhill_checker::{CallEnd, Effect, Entry, Event, RuleParams, accounts, judge};
 use yarrowhill_standins::{
-    Class, Destination, Discovery, Endpoint, Faults, Figures, Ledger, Line, Message, Patience, Process, Rng,
-    Room, Setup, configuration, free_address, hand_in,
+    Class, ClientOptions, ConfigParams, Destination, Discovery, Endpoint, EndpointLine, Faults, Ledger,
+    Message, Process, Resources, Rng, Setup, configuration, free_address, submit,
 };
 
 const CLASSES: [Class; 2] = [
@@ -54,7 +54,7 @@
             1,
             50.0,
             40.0,
-            Faults { error: 0.08, spoilt: 0.12, ..well.clone() },
+            Faults { error: 0.08, malformed: 0.12, ..well.clone() },
         ),
         partner("station-e", "hangs now and then", "plain", 1, 50.0, 40.0, Faults { silent: 0.08, ..well }),
     ]
@@ -83,20 +83,20 @@
         for e in 0..p.endpoints {
             let endpoint =
                 Endpoint::start(&format!("{}-{e}", p.name), ([127, 0, 0, 1], 0).into(), &dest).await?;
-            lines.push(Line::new(&endpoint.uid, endpoint.addr, n as u64, p.kind, p.limit));
+            lines.push(EndpointLine::new(&endpoint.uid, endpoint.addr, n as u64, p.kind, p.limit));
             endpoints.push(endpoint);
         }
         dests.push(dest);
     }
     let discovery = Discovery::start(lines.clone(), ledger.clone()).await?;
-    let figures = Figures {
+    let figures = ConfigParams {
         classes: CLASSES.to_vec(),
-        key_life_ms: KEY_LIFE,
-        aim_ms: 800.0,
+        key_ttl_ms: KEY_LIFE,
+        goal_time_ms: 800.0,
         slots: 24,
         fail_back: [2.0, 1000.0, 0.17, WARM],
         seed,
-        room: Room::default(),
+        resources: Resources::default(),
     };
     let config = configuration(&figures, free_address()?, discovery.addr, &lines);
     let folder = std::env::temp_dir().join(format!("yarrowhill-demo-{}", std::process::id()));
@@ -104,8 +104,8 @@
         program: std::env::current_exe()?,
         folder: folder.clone(),
         env: Vec::new(),
-        file_most: None,
-        descriptors: None,
+        max_file_bytes: None,
+        max_descriptors: None,
     };
     let mut process = Process::start(setup, &config, &ledger).await?;
     println!("The forwarder listens at {}, between {} stand-ins.", process.addr, endpoints.len());
@@ -125,9 +125,9 @@
         }
         if !back && now >= outage[1] {
             back = true;
-            dests[1].come_back(WARM);
+            dests[1].recover(WARM);
         }
-        if let Some(status) = process.ended()? {
+        if let Some(status) = process.try_exit_status()? {
             return Err(format!("the forwarder ended: {status}").into());
         }
         let entries = ledger.entries();
@@ -141,7 +141,7 @@
     clients.await?;
     let entries = ledger.entries();
     process.signal("TERM").await?;
-    process.exited(Duration::from_secs(5)).await?;
+    process.wait_exit(Duration::from_secs(5)).await?;
     // Left behind, it would be of no use to anybody.
     let _ = std::fs::remove_dir_all(&folder);
     summary(&entries)
@@ -172,16 +172,16 @@
             dest,
             owner: "acme".to_owned(),
             deadline_ms: class.deadline_ms,
-            body: 200,
+            body_bytes: 200,
         };
         let ledger = ledger.clone();
         tasks.spawn(async move {
-            let (_, wait) = hand_in(to, &message, Patience::default(), &ledger).await;
+            let (_, wait) = submit(to, &message, ClientOptions::default(), &ledger).await;
             // Refused with a wait, it comes again once.
             if let Some(wait) = wait {
                 sleep(Duration::from_secs_f64(wait / 1000.0)).await;
                 message.id.push_str("-again");
-                hand_in(to, &message, Patience::default(), &ledger).await;
+                submit(to, &message, ClientOptions::default(), &ledger).await;
             }
         });
     }
@@ -294,11 +294,11 @@
     println!("\nHow they ended:");
     by_class(entries).iter().for_each(|line| println!("{line}"));
     let effect = |c: &Class| if c.idempotency == "token" { Effect::Keyed(KEY_LIFE) } else { Effect::Unsafe };
-    let terms = Terms {
+    let terms = RuleParams {
         classes: CLASSES.iter().map(|c| (c.name.to_owned(), effect(c))).collect(),
-        fall_for: 1000.0,
-        warm_after: WARM,
-        ..Terms::default()
+        overload_for_ms: 1000.0,
+        warm_up_ms: WARM,
+        ..RuleParams::default()
     };
     let breaches = judge(&terms, entries);
     let accounts = accounts(entries);
