--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -7,7 +7,7 @@
 use crate::packet::{Body, FullState, Header, MAX_UPDATES, Packet, Update};
 use crate::record::{Health, Record};
 use crate::roster::{Roster, RosterError, RosterRef};
-use crate::standing::{Evidence, MembershipState, Permits, Share, membership_state, permits};
+use crate::state::{Evidence, MembershipState, Permits, Share, membership_state, permits};
 use crate::support::{Lease, Support, Voter};
 use crate::view::{View, ViewStabilizer};
 use rand::{RngExt, SeedableRng};
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -34,7 +34,7 @@
 mod packet;
 mod record;
 mod roster;
-mod standing;
+mod state;
 mod support;
 mod view;
 
@@ -46,6 +46,6 @@
 pub use packet::{Body, FullState, Header, MAX_UPDATES, Packet, Update};
 pub use record::{Health, Record};
 pub use roster::{DEFAULT_VOTERS, MAX_MEMBERS, MemberConfig, Roster, RosterError, RosterRef};
-pub use standing::{Evidence, MembershipState, Permits, Share, membership_state, permits};
+pub use state::{Evidence, MembershipState, Permits, Share, membership_state, permits};
 pub use support::{Lease, Support, Voter};
 pub use view::{PresentBoots, View, ViewStabilizer};
