--- a/crates/kernel/src/fleet.rs
+++ b/crates/kernel/src/fleet.rs
@@ -9,7 +9,7 @@
 /// An instant or a duration in microseconds, on the simulation's clock or on a member's.
 pub type Micros = u64;
 
-/// Maximum index of packets that are buffered for a stopped member. Further ones are lost, as with a socket
+/// Maximum number of packets that are buffered for a stopped member. Further ones are lost, as with a socket
 /// buffer.
 const SOCKET_BUFFER: usize = 256;
 
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -35,7 +35,7 @@
     pub lease: Micros,
     /// Largest assumed error of clock rates, as a fraction: 0.01 is one percent.
     pub drift: f64,
-    /// Time without a packet after which another process under the local name is taken to be gone.
+    /// Silence after which another process under the local name is taken to be gone.
     pub duplicate_timeout: Micros,
     /// Whether support is requested continuously. Without it no member gets beyond
     /// [`MembershipState::Unsettled`].
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -10,9 +10,8 @@
 /// number of further helpers is asked when the indirect probes are not answered either.
 pub const INDIRECT_PROBES: usize = 3;
 /// Maximum of the local health score (0 is healthy); own time-outs are multiplied by the score plus one.
-/// Lifeguard uses
-/// 8. Here a process detects by its own clock that it was slow, and in a small partition, where most helpers
-///    are gone as well, a longer period would only delay a correct detection.
+/// Lifeguard limits it to 8; here a process detects by its own clock that it was slow, and in a small
+/// partition, where most helpers are gone as well, a longer period would only delay a correct detection.
 const MAX_LOCAL_HEALTH: u32 = 3;
 /// Number of independent confirmations that shorten a suspicion to its minimum time.
 const MAX_CONFIRMATIONS: usize = 3;
