--- a/crates/attack/src/member.rs
+++ b/crates/attack/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 use std::rc::Rc;
-use yarrowhill_fleet::{PACKET_MOST, WHOLE_MOST, encode};
+use yarrowhill_fleet::{MAX_FULL_STATE_BYTES, MAX_PACKET_BYTES, encode};
 use yarrowhill_kernel::{Clock, Fleet, Links, Member, Micros};
 use yarrowhill_membership::{
     Event, FullState, InstanceId, MemberConfig, MemberId, Membership, Output, Packet, Roster, Timing,
@@ -22,9 +22,9 @@
 /// The bytes of a message.
 pub fn size(msg: &Msg) -> usize {
     match msg {
-        Msg::Packet(packet) => encode(packet, PACKET_MOST).map_or(usize::MAX, |b| b.len()),
+        Msg::Packet(packet) => encode(packet, MAX_PACKET_BYTES).map_or(usize::MAX, |b| b.len()),
         Msg::Whole(whole) | Msg::Answer(whole) => {
-            encode(&**whole, WHOLE_MOST).map_or(usize::MAX, |b| b.len())
+            encode(&**whole, MAX_FULL_STATE_BYTES).map_or(usize::MAX, |b| b.len())
         }
     }
 }
--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::rc::Rc;
-use yarrowhill_fleet::{NEWS_WORDS, TOLD_WORDS, Told, encode_findings, encode_letter, encode_told};
+use yarrowhill_fleet::{
+    MAX_PART_REPORTS, MAX_REPORTS, SnapshotPart, encode_outages, encode_rights, encode_snapshot_part,
+};
 use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault};
 use yarrowhill_knowledge::{Admission, CallOutcome, InitialSync, OutageDetector, OutageReport, SlowStart};
 use yarrowhill_rights::{CALL, Envelope, LeaseDurations, Limit, SharedLimits};
@@ -66,7 +68,7 @@
     Letter(Envelope),
     Findings(Vec<OutageReport>),
     Hello,
-    Told(Told),
+    Told(SnapshotPart),
 }
 
 /// Its own judgement, where each goes by its own: three failures in a row, then trials further and further apart.
@@ -238,7 +240,7 @@
         }
         self.next_news = now + ROUND;
         let others: Vec<u64> = self.view.iter().copied().filter(|id| *id != self.me).collect();
-        let words = self.outages.updates_to_send(now, NEWS_WORDS, self.view.len());
+        let words = self.outages.updates_to_send(now, MAX_REPORTS, self.view.len());
         for to in others.sample(&mut self.rng, 3) {
             if self.newcomer.is_pending(now) {
                 self.sends.push((*to as usize, Msg::Hello));
@@ -266,11 +268,11 @@
             }
             Msg::Findings(words) => words.iter().for_each(|word| self.outages.receive(now, word)),
             Msg::Hello => {
-                let parts = Told::parts(&[], &self.outages.snapshot(now, 8 * TOLD_WORDS));
+                let parts = SnapshotPart::split(&[], &self.outages.snapshot(now, 8 * MAX_PART_REPORTS));
                 self.sends.extend(parts.into_iter().map(|part| (from, Msg::Told(part))));
             }
             Msg::Told(told) => {
-                told.findings.iter().for_each(|word| self.outages.receive(now, word));
+                told.outages.iter().for_each(|word| self.outages.receive(now, word));
                 self.newcomer.record_part(from as u64, told.part, told.parts);
             }
         }
@@ -294,9 +296,9 @@
 
 fn size(msg: &Msg) -> usize {
     match msg {
-        Msg::Letter(letter) => encode_letter(letter).map_or(usize::MAX, |b| b.len()),
-        Msg::Findings(words) => encode_findings(words).map_or(usize::MAX, |b| b.len()),
-        Msg::Told(told) => encode_told(told).map_or(usize::MAX, |b| b.len()),
+        Msg::Letter(letter) => encode_rights(letter).map_or(usize::MAX, |b| b.len()),
+        Msg::Findings(words) => encode_outages(words).map_or(usize::MAX, |b| b.len()),
+        Msg::Told(told) => encode_snapshot_part(told).map_or(usize::MAX, |b| b.len()),
         Msg::Hello => 5,
     }
 }
--- a/crates/attack/src/rights.rs
+++ b/crates/attack/src/rights.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use yarrowhill_fleet::encode_letter;
+use yarrowhill_fleet::encode_rights;
 use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault, World};
 use yarrowhill_rights::{CALL, Coordinator, Envelope, Holder, LeaseDurations, Limit, Request, SharedLimits};
 
@@ -276,7 +276,7 @@
 }
 
 fn size(letter: &Envelope) -> usize {
-    encode_letter(letter).map_or(usize::MAX, |bytes| bytes.len())
+    encode_rights(letter).map_or(usize::MAX, |bytes| bytes.len())
 }
 
 fn limit(calls: u64, even: Even) -> Limit {
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -8,9 +8,9 @@
 use yarrowhill_rights::Envelope;
 
 /// No UDP packet is longer (bytes): it fits a frame of Ethernet with room for tunnels.
-pub const PACKET_MOST: usize = 1400;
+pub const MAX_PACKET_BYTES: usize = 1400;
 /// No whole view is longer (bytes): room for the largest roster.
-pub const WHOLE_MOST: usize = 256 << 10;
+pub const MAX_FULL_STATE_BYTES: usize = 256 << 10;
 /// What a packet of membership begins with,
 const MARK: [u8; 3] = *b"yw\x01";
 /// and one about shared limits. Builds that know none of these count it as spoilt.
@@ -24,42 +24,43 @@
 /// And a letter about duties.
 const DUTY_MARK: [u8; 3] = *b"yd\x01";
 /// Words of each kind in such a part.
-pub const TOLD_WORDS: usize = 12;
+pub const MAX_PART_REPORTS: usize = 12;
 /// Words in a packet of news or of findings: at their longest they fit.
-pub const NEWS_WORDS: usize = 24;
+pub const MAX_REPORTS: usize = 24;
 
 /// What members tell each other of destinations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct WaitUpdate {
     /// The sender has just started, and wants to hear all that still holds.
-    pub hello: bool,
-    /// At most [`NEWS_WORDS`].
-    pub words: Vec<WaitReport>,
+    pub request_snapshot: bool,
+    /// At most [`MAX_REPORTS`].
+    pub reports: Vec<WaitReport>,
 }
 
 /// A part of what one that has just started is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct SnapshotPart {
     /// Which part,
     pub part: u8,
     /// of how many.
     pub parts: u8,
-    /// Waits, at most [`TOLD_WORDS`].
+    /// Waits, at most [`MAX_PART_REPORTS`].
     pub waits: Vec<WaitReport>,
-    /// Findings, at most [`TOLD_WORDS`].
-    pub findings: Vec<OutageReport>,
+    /// Findings, at most [`MAX_PART_REPORTS`].
+    pub outages: Vec<OutageReport>,
 }
 
-impl Told {
+impl SnapshotPart {
     /// All parts: one at least, since that nothing holds is to be told too.
-    pub fn parts(waits: &[WaitReport], findings: &[OutageReport]) -> Vec<Told> {
-        let parts = waits.len().max(findings.len()).div_ceil(TOLD_WORDS).clamp(1, usize::from(u8::MAX));
-        let some = |n: usize, len: usize| (n * TOLD_WORDS).min(len)..((n + 1) * TOLD_WORDS).min(len);
-        let part = |n: usize| Told {
+    pub fn split(waits: &[WaitReport], outages: &[OutageReport]) -> Vec<SnapshotPart> {
+        let parts = waits.len().max(outages.len()).div_ceil(MAX_PART_REPORTS).clamp(1, usize::from(u8::MAX));
+        let some =
+            |n: usize, len: usize| (n * MAX_PART_REPORTS).min(len)..((n + 1) * MAX_PART_REPORTS).min(len);
+        let part = |n: usize| SnapshotPart {
             part: n as u8,
             parts: parts as u8,
             waits: waits[some(n, waits.len())].to_vec(),
-            findings: findings[some(n, findings.len())].to_vec(),
+            outages: outages[some(n, outages.len())].to_vec(),
         };
         (0..parts).map(part).collect()
     }
@@ -70,13 +71,13 @@
 pub enum CodecError {
     /// Longer than it may be.
     #[error("{0} bytes are too many")]
-    Long(usize),
+    TooLong(usize),
     /// Not ours, or of another version.
     #[error("not of this version")]
-    Version,
+    UnknownFormat,
     /// Cut off or spoilt.
     #[error("cannot be read")]
-    Spoilt,
+    Malformed,
 }
 
 /// The bytes of a packet.
@@ -93,13 +94,13 @@
 /// # Errors
 ///
 /// It is too long.
-pub fn encode_letter(letter: &Envelope) -> Result<Vec<u8>, CodecError> {
-    encode_behind(&RIGHTS_MARK, letter, PACKET_MOST)
+pub fn encode_rights(letter: &Envelope) -> Result<Vec<u8>, CodecError> {
+    encode_behind(&RIGHTS_MARK, letter, MAX_PACKET_BYTES)
 }
 
 fn encode_behind<T: Serialize>(mark: &[u8], packet: &T, most: usize) -> Result<Vec<u8>, CodecError> {
-    let bytes = postcard::to_extend(packet, mark.to_vec()).map_err(|_| CodecError::Spoilt)?;
-    if bytes.len() > most { Err(CodecError::Long(bytes.len())) } else { Ok(bytes) }
+    let bytes = postcard::to_extend(packet, mark.to_vec()).map_err(|_| CodecError::Malformed)?;
+    if bytes.len() > most { Err(CodecError::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
 /// The bytes of news.
@@ -107,17 +108,17 @@
 /// # Errors
 ///
 /// They are too long.
-pub fn encode_news(news: &News) -> Result<Vec<u8>, CodecError> {
-    encode_behind(&NEWS_MARK, news, PACKET_MOST)
+pub fn encode_waits(news: &WaitUpdate) -> Result<Vec<u8>, CodecError> {
+    encode_behind(&NEWS_MARK, news, MAX_PACKET_BYTES)
 }
 
-/// The bytes of findings, at most [`NEWS_WORDS`] of them.
+/// The bytes of findings, at most [`MAX_REPORTS`] of them.
 ///
 /// # Errors
 ///
 /// They are too long.
-pub fn encode_findings(findings: &[OutageReport]) -> Result<Vec<u8>, CodecError> {
-    encode_behind(&FINDINGS_MARK, &findings, PACKET_MOST)
+pub fn encode_outages(findings: &[OutageReport]) -> Result<Vec<u8>, CodecError> {
+    encode_behind(&FINDINGS_MARK, &findings, MAX_PACKET_BYTES)
 }
 
 /// The bytes of a part of what a newcomer is told.
@@ -125,12 +126,12 @@
 /// # Errors
 ///
 /// They are too long.
-pub fn encode_told(told: &Told) -> Result<Vec<u8>, CodecError> {
-    encode_behind(&TOLD_MARK, told, PACKET_MOST)
+pub fn encode_snapshot_part(told: &SnapshotPart) -> Result<Vec<u8>, CodecError> {
+    encode_behind(&TOLD_MARK, told, MAX_PACKET_BYTES)
 }
 
 /// Whether some bytes are such a part.
-pub fn is_told(bytes: &[u8]) -> bool {
+pub fn is_snapshot_part(bytes: &[u8]) -> bool {
     bytes.starts_with(&TOLD_MARK)
 }
 
@@ -139,8 +140,8 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_told(bytes: &[u8]) -> Result<Told, CodecError> {
-    decode_behind(&TOLD_MARK, bytes, PACKET_MOST)
+pub fn decode_snapshot_part(bytes: &[u8]) -> Result<SnapshotPart, CodecError> {
+    decode_behind(&TOLD_MARK, bytes, MAX_PACKET_BYTES)
 }
 
 /// The bytes of a letter about duties.
@@ -149,7 +150,7 @@
 ///
 /// They are too long.
 pub fn encode_duty(letter: &duties::Envelope) -> Result<Vec<u8>, CodecError> {
-    encode_behind(&DUTY_MARK, letter, PACKET_MOST)
+    encode_behind(&DUTY_MARK, letter, MAX_PACKET_BYTES)
 }
 
 /// Whether some bytes are about duties.
@@ -163,11 +164,11 @@
 ///
 /// They are none.
 pub fn decode_duty(bytes: &[u8]) -> Result<duties::Envelope, CodecError> {
-    decode_behind(&DUTY_MARK, bytes, PACKET_MOST)
+    decode_behind(&DUTY_MARK, bytes, MAX_PACKET_BYTES)
 }
 
 /// Whether some bytes are findings.
-pub fn is_findings(bytes: &[u8]) -> bool {
+pub fn is_outages(bytes: &[u8]) -> bool {
     bytes.starts_with(&FINDINGS_MARK)
 }
 
@@ -176,12 +177,12 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_findings(bytes: &[u8]) -> Result<Vec<OutageReport>, CodecError> {
-    decode_behind(&FINDINGS_MARK, bytes, PACKET_MOST)
+pub fn decode_outages(bytes: &[u8]) -> Result<Vec<OutageReport>, CodecError> {
+    decode_behind(&FINDINGS_MARK, bytes, MAX_PACKET_BYTES)
 }
 
 /// Whether some bytes are news.
-pub fn is_news(bytes: &[u8]) -> bool {
+pub fn is_waits(bytes: &[u8]) -> bool {
     bytes.starts_with(&NEWS_MARK)
 }
 
@@ -190,12 +191,12 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_news(bytes: &[u8]) -> Result<News, CodecError> {
-    decode_behind(&NEWS_MARK, bytes, PACKET_MOST)
+pub fn decode_waits(bytes: &[u8]) -> Result<WaitUpdate, CodecError> {
+    decode_behind(&NEWS_MARK, bytes, MAX_PACKET_BYTES)
 }
 
 /// Whether some bytes are about shared limits.
-pub fn is_letter(bytes: &[u8]) -> bool {
+pub fn is_rights(bytes: &[u8]) -> bool {
     bytes.starts_with(&RIGHTS_MARK)
 }
 
@@ -204,8 +205,8 @@
 /// # Errors
 ///
 /// They are none.
-pub fn decode_letter(bytes: &[u8]) -> Result<Envelope, CodecError> {
-    decode_behind(&RIGHTS_MARK, bytes, PACKET_MOST)
+pub fn decode_rights(bytes: &[u8]) -> Result<Envelope, CodecError> {
+    decode_behind(&RIGHTS_MARK, bytes, MAX_PACKET_BYTES)
 }
 
 /// The packet of some bytes, whatever they are.
@@ -219,10 +220,10 @@
 
 fn decode_behind<T: DeserializeOwned>(mark: &[u8], bytes: &[u8], most: usize) -> Result<T, CodecError> {
     if bytes.len() > most {
-        return Err(CodecError::Long(bytes.len()));
+        return Err(CodecError::TooLong(bytes.len()));
     }
-    let body = bytes.strip_prefix(mark).ok_or(CodecError::Version)?;
-    postcard::take_from_bytes(body).map(|(packet, _)| packet).map_err(|_| CodecError::Spoilt)
+    let body = bytes.strip_prefix(mark).ok_or(CodecError::UnknownFormat)?;
+    postcard::take_from_bytes(body).map(|(packet, _)| packet).map_err(|_| CodecError::Malformed)
 }
 
 #[cfg(test)]
@@ -247,14 +248,14 @@
 
     #[test]
     fn the_largest_packet_fits_and_comes_back() {
-        let bytes = encode(&largest(), PACKET_MOST).expect("fits");
-        assert_eq!(decode::<Packet>(&bytes, PACKET_MOST), Ok(largest()));
+        let bytes = encode(&largest(), MAX_PACKET_BYTES).expect("fits");
+        assert_eq!(decode::<Packet>(&bytes, MAX_PACKET_BYTES), Ok(largest()));
         // What a later version adds at the end is left unread.
         let longer = [bytes.clone(), vec![1, 2, 3]].concat();
-        assert_eq!(decode::<Packet>(&longer, PACKET_MOST + 3), Ok(largest()));
+        assert_eq!(decode::<Packet>(&longer, MAX_PACKET_BYTES + 3), Ok(largest()));
         let other = [b"yw\x02".as_slice(), &bytes[3..]].concat();
-        assert_eq!(decode::<Packet>(&other, PACKET_MOST), Err(CodecError::Version));
-        assert_eq!(decode::<Packet>(&bytes[..40], PACKET_MOST), Err(CodecError::Spoilt));
+        assert_eq!(decode::<Packet>(&other, MAX_PACKET_BYTES), Err(CodecError::UnknownFormat));
+        assert_eq!(decode::<Packet>(&bytes[..40], MAX_PACKET_BYTES), Err(CodecError::Malformed));
     }
 
     #[test]
@@ -263,28 +264,30 @@
         let want = Request { sent_at: u64::MAX, extra: u64::MAX, offer };
         let words = vec![Payload::Request(u64::MAX, want); MAX_PAYLOADS];
         let letter = Envelope { life: u64::MAX, to_life: Some(u64::MAX), payloads: words };
-        let bytes = encode_letter(&letter).expect("fits");
-        assert!(is_letter(&bytes) && decode::<Packet>(&bytes, PACKET_MOST) == Err(CodecError::Version));
-        assert_eq!(decode_letter(&bytes), Ok(letter));
-        assert_eq!(decode_letter(&bytes[..90]), Err(CodecError::Spoilt));
+        let bytes = encode_rights(&letter).expect("fits");
+        assert!(
+            is_rights(&bytes) && decode::<Packet>(&bytes, MAX_PACKET_BYTES) == Err(CodecError::UnknownFormat)
+        );
+        assert_eq!(decode_rights(&bytes), Ok(letter));
+        assert_eq!(decode_rights(&bytes[..90]), Err(CodecError::Malformed));
         let most = u64::MAX;
         let word = WaitReport { dest: most, origin: most, version: (most, most), remaining: most };
-        let news = News { hello: true, words: vec![word; NEWS_WORDS] };
-        let bytes = encode_news(&news).expect("fits");
-        assert!(is_news(&bytes) && !is_letter(&bytes));
-        assert_eq!(decode_news(&bytes), Ok(news));
+        let news = WaitUpdate { request_snapshot: true, reports: vec![word; MAX_REPORTS] };
+        let bytes = encode_waits(&news).expect("fits");
+        assert!(is_waits(&bytes) && !is_rights(&bytes));
+        assert_eq!(decode_waits(&bytes), Ok(news));
         let finding = yarrowhill_knowledge::Finding::Recovered(most);
         let findings =
-            vec![OutageReport { dest: most, origin: most, version: (most, most), finding }; NEWS_WORDS];
-        let bytes = encode_findings(&findings).expect("fits");
-        assert!(is_findings(&bytes) && !is_news(&bytes));
-        assert_eq!(decode_findings(&bytes), Ok(findings.clone()));
-        assert_eq!(decode_findings(&bytes[..50]), Err(CodecError::Spoilt));
-        let told = Told::parts(&vec![word; 30], &findings);
+            vec![OutageReport { dest: most, origin: most, version: (most, most), finding }; MAX_REPORTS];
+        let bytes = encode_outages(&findings).expect("fits");
+        assert!(is_outages(&bytes) && !is_waits(&bytes));
+        assert_eq!(decode_outages(&bytes), Ok(findings.clone()));
+        assert_eq!(decode_outages(&bytes[..50]), Err(CodecError::Malformed));
+        let told = SnapshotPart::split(&vec![word; 30], &findings);
         assert_eq!(told.iter().map(|t| (t.part, t.parts)).collect::<Vec<_>>(), [(0, 3), (1, 3), (2, 3)]);
         assert_eq!(told.iter().map(|t| t.waits.len()).sum::<usize>(), 30);
-        assert_eq!(decode_told(&encode_told(&told[0]).expect("fits")), Ok(told[0].clone()));
-        assert_eq!(Told::parts(&[], &[]).len(), 1);
+        assert_eq!(decode_snapshot_part(&encode_snapshot_part(&told[0]).expect("fits")), Ok(told[0].clone()));
+        assert_eq!(SnapshotPart::split(&[], &[]).len(), 1);
         let life = duties::ProcessId { member: most, instance: most };
         let ballot = duties::Ballot { number: most, proposer: life };
         let value = duties::RegisterValue {
@@ -303,7 +306,7 @@
             duties::Payload::RecoveryResponse { nonce: most, flags, remembers, register, part: (254, 255) };
         let letter = duties::Envelope { from: life, duty: most, payload: body };
         let bytes = encode_duty(&letter).expect("fits");
-        assert!(is_duty(&bytes) && !is_letter(&bytes));
+        assert!(is_duty(&bytes) && !is_rights(&bytes));
         assert_eq!(decode_duty(&bytes), Ok(letter));
     }
 
@@ -312,7 +315,7 @@
         #[test]
         fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
             let bytes = [MARK.as_slice(), &bytes].concat();
-            if let Ok(packet) = decode::<Packet>(&bytes, PACKET_MOST) {
+            if let Ok(packet) = decode::<Packet>(&bytes, MAX_PACKET_BYTES) {
                 prop_assert!(packet.updates.len() < 400);
             }
         }
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -33,10 +33,10 @@
     Socket(PathBuf, #[source] io::Error),
     /// Nothing came in time.
     #[error("{0}: no answer in time")]
-    Late(PathBuf),
+    TimedOut(PathBuf),
     /// What came is no answer.
     #[error("the answer cannot be read: {0}")]
-    Form(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// The forwarder says no.
     #[error("{0}")]
     Refused(String),
@@ -124,7 +124,7 @@
         Ok(text)
     };
     let text = match timeout(PATIENCE * 2, asked).await {
-        Err(_) => return Err(ControlError::Late(path.to_owned())),
+        Err(_) => return Err(ControlError::TimedOut(path.to_owned())),
         Ok(Err(e)) => return Err(ControlError::Socket(path.to_owned(), e)),
         Ok(Ok(text)) => text,
     };
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -6,7 +6,7 @@
 //!     member "n0" address="127.0.0.1:7946" zone="a"
 //!     member "n1" address="127.0.0.1:7947" zone="b"
 //! }"#;
-//! let document = yarrowhill_fleet::read("fleet.kdl", text, "n0").unwrap();
+//! let document = yarrowhill_fleet::parse_document("fleet.kdl", text, "n0").unwrap();
 //! assert_eq!(document.roster.len(), 2);
 //! assert_eq!(document.listen.port(), 7946);
 //! ```
@@ -36,19 +36,19 @@
 
 /// Something wrong with a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where: file, line, column.
-    pub place: (String, usize, usize),
+    pub location: (String, usize, usize),
     /// What.
-    pub what: String,
+    pub problem: String,
     /// What would be right.
     pub remedy: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (file, line, column) = &self.place;
-        write!(f, "{file}:{line}:{column}: {}; {}", self.what, self.remedy)
+        let (file, line, column) = &self.location;
+        write!(f, "{file}:{line}:{column}: {}; {}", self.problem, self.remedy)
     }
 }
 
@@ -66,7 +66,7 @@
     /// Limits that all share, by destination; those on attempts beyond the first by [`further_attempts`] of it.
     pub limits: BTreeMap<u64, Limit>,
     /// Whether they tell each other of outages, and come back together.
-    pub returns: bool,
+    pub share_outages: bool,
     /// Duties that one of them holds at a time.
     pub duties: Vec<Duty>,
 }
@@ -74,7 +74,7 @@
 struct Reader<'a> {
     file: &'a str,
     text: &'a str,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
 }
 
 /// Reads a document for the member `me`.
@@ -82,7 +82,7 @@
 /// # Errors
 ///
 /// Everything that is wrong with it.
-pub fn read(file: &str, text: &str, me: &str) -> Result<Document, Vec<Fault>> {
+pub fn parse_document(file: &str, text: &str, me: &str) -> Result<Document, Vec<Diagnostic>> {
     let mut reader = Reader { file, text, faults: Vec::new() };
     let document = reader.document(me);
     reader.faults.truncate(FAULTS_MOST);
@@ -93,12 +93,12 @@
 }
 
 impl Reader<'_> {
-    fn fault(&mut self, offset: usize, what: impl Into<String>, remedy: impl Into<String>) {
+    fn fault(&mut self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
         let before = self.text.get(..offset).unwrap_or_default();
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        let place = (self.file.to_owned(), line, column);
-        self.faults.push(Fault { place, what: what.into(), remedy: remedy.into() });
+        let location = (self.file.to_owned(), line, column);
+        self.faults.push(Diagnostic { location, problem: problem.into(), remedy: remedy.into() });
     }
 
     fn document(&mut self, me: &str) -> Option<Document> {
@@ -137,7 +137,7 @@
         }
         let period = self.number(node, "period-ms", PERIOD).unwrap_or(PERIOD_USUAL);
         let loopback = self.flag(node, "loopback").unwrap_or(false);
-        let returns = self.flag(node, "returns").unwrap_or(true);
+        let share_outages = self.flag(node, "returns").unwrap_or(true);
         let (mut seats, mut before) = (Vec::new(), Vec::new());
         let mut duties: Vec<Duty> = Vec::new();
         let (mut addresses, mut limits) = (BTreeMap::new(), BTreeMap::new());
@@ -182,7 +182,7 @@
         addresses.remove(&id);
         let mut timing = Timing::from_period(period * 1000);
         timing.collect_support = self.flag(node, "confirm").unwrap_or(roster.len() <= CONFIRM_MOST);
-        Some(Document { roster, listen, addresses, timing, limits, returns, duties })
+        Some(Document { roster, listen, addresses, timing, limits, share_outages, duties })
     }
 
     /// `limit 10 calls=60.0 further=6.0`: calls a second to a destination, for all together, and of these, attempts beyond the
@@ -329,7 +329,7 @@
     use super::*;
 
     fn faults(text: &str) -> Vec<String> {
-        let faults = read("f", text, "n0").err().unwrap_or_default();
+        let faults = parse_document("f", text, "n0").err().unwrap_or_default();
         faults.iter().map(ToString::to_string).collect()
     }
 
@@ -351,7 +351,7 @@
     fn duties_are_read_each_once() {
         let text =
             |duties: &str| format!("fleet version=1 {{ member \"n0\" address=\"127.0.0.1:7\"\n{duties}\n}}");
-        let sound = read("f", &text("duty \"a\" zone=\"z\"\nduty \"b\""), "n0").expect("sound");
+        let sound = parse_document("f", &text("duty \"a\" zone=\"z\"\nduty \"b\""), "n0").expect("sound");
         assert_eq!(sound.duties, [Duty { name: "a".into(), zone: Some("z".into()) }, Duty::new("b")]);
         let told = faults(&text("duty \"a\"\nduty \"a\" room=1\nduty"));
         for part in ["a second duty", "unknown \"room\"", "without a name"] {
@@ -363,8 +363,9 @@
     fn limits_on_calls_and_on_further_attempts_are_two() {
         let text =
             |limits: &str| format!("fleet version=1 {{ member \"n0\" address=\"127.0.0.1:7\"\n{limits}\n}}");
-        let read = read("f", &text("limit 7 calls=10 further=1.5\nlimit 8 further=2"), "n0").expect("sound");
-        let calls: Vec<(u64, u64)> = read.limits.iter().map(|(n, l)| (*n, l.calls)).collect();
+        let document = parse_document("f", &text("limit 7 calls=10 further=1.5\nlimit 8 further=2"), "n0")
+            .expect("sound");
+        let calls: Vec<(u64, u64)> = document.limits.iter().map(|(n, l)| (*n, l.calls)).collect();
         let further = [7, 8].map(retry_limit_id);
         assert_eq!(calls, [(7, 10 * CALL), (further[0], 3 * CALL / 2), (further[1], 2 * CALL)]);
         for (limit, told) in [
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// The file can't be written.
-    pub fn start(folder: &Path, name: &str) -> Result<(Self, u64), IdentityError> {
+    pub fn open_next_boot(folder: &Path, name: &str) -> Result<(Self, u64), IdentityError> {
         let file = IdentityFile { path: folder.join(NAME), name: name.to_owned() };
         let last = match file.read() {
             Ok(last) => last,
@@ -112,7 +112,7 @@
     #[test]
     fn boots_are_counted_and_a_damaged_file_is_kept_aside() {
         let folder = folder("counted");
-        let boot = |name: &str| IdentityFile::start(&folder, name).expect("written").1;
+        let boot = |name: &str| IdentityFile::open_next_boot(&folder, name).expect("written").1;
         assert_eq!((boot("n0"), boot("n0")), (1, 2));
         let path = folder.join(NAME);
         let mut bytes = fs::read(&path).expect("there");
@@ -127,6 +127,6 @@
 
     #[test]
     fn without_a_folder_nothing_is_started() {
-        assert!(IdentityFile::start(Path::new("/nowhere/at/all"), "n0").is_err());
+        assert!(IdentityFile::open_next_boot(Path::new("/nowhere/at/all"), "n0").is_err());
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -20,17 +20,18 @@
 
 pub use clock::now;
 pub use codec::{
-    CodecError, NEWS_WORDS, News, PACKET_MOST, TOLD_WORDS, Told, WHOLE_MOST, decode, decode_duty,
-    decode_findings, decode_letter, decode_news, decode_told, encode, encode_duty, encode_findings,
-    encode_letter, encode_news, encode_told, is_duty, is_findings, is_letter, is_news, is_told,
+    CodecError, MAX_FULL_STATE_BYTES, MAX_PACKET_BYTES, MAX_PART_REPORTS, MAX_REPORTS, SnapshotPart,
+    WaitUpdate, decode, decode_duty, decode_outages, decode_rights, decode_snapshot_part, decode_waits,
+    encode, encode_duty, encode_outages, encode_rights, encode_snapshot_part, encode_waits, is_duty,
+    is_outages, is_rights, is_snapshot_part, is_waits,
 };
 pub use control::{ControlError, ask, serve};
-pub use document::{Document, Fault, read};
+pub use document::{Diagnostic, Document, parse_document};
 pub use identity::{IdentityError, IdentityFile};
 pub use node::{FleetError, Handle, Node, Options};
 pub use status::{
-    DutiesStatus, KnowledgeStatus, LimitsStatus, MemberStatus, NamedDuty, NamedKnown, NamedLimit,
-    NamedOutage, Status,
+    DutiesStatus, KnowledgeStatus, LimitsStatus, MemberStatus, NamedDuty, NamedLimit, NamedOutage, NamedWait,
+    Status,
 };
 pub use yarrowhill_duties::{HeldDuty, OperatorRequest, OperatorRequestError, StepError, VoteStatus};
 pub use yarrowhill_knowledge::{CallOutcome, SlowStart};
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -2,9 +2,10 @@
 
 use crate::clock;
 use crate::codec::{
-    CodecError, NEWS_WORDS, News, PACKET_MOST, TOLD_WORDS, Told, WHOLE_MOST, decode, decode_duty,
-    decode_findings, decode_letter, decode_news, decode_told, encode, encode_duty, encode_findings,
-    encode_letter, encode_news, encode_told, is_duty, is_findings, is_letter, is_news, is_told,
+    CodecError, MAX_FULL_STATE_BYTES, MAX_PACKET_BYTES, MAX_PART_REPORTS, MAX_REPORTS, SnapshotPart,
+    WaitUpdate, decode, decode_duty, decode_outages, decode_rights, decode_snapshot_part, decode_waits,
+    encode, encode_duty, encode_outages, encode_rights, encode_snapshot_part, encode_waits, is_duty,
+    is_outages, is_rights, is_snapshot_part, is_waits,
 };
 use crate::document::Document;
 use crate::identity::{IdentityError, IdentityFile};
@@ -65,7 +66,7 @@
     Roster(#[from] RosterError),
     /// No chance is to be had.
     #[error("no random number: {0}")]
-    Chance(String),
+    Random(String),
 }
 
 /// What a member is started with.
@@ -76,11 +77,11 @@
     /// The fleet's document.
     pub document: Document,
     /// The folder that outlasts the process.
-    pub state: &'a Path,
+    pub state_folder: &'a Path,
     /// For random numbers.
     pub seed: u64,
     /// How destinations come back after an outage. None: nothing is told of outages, and each goes by its own.
-    pub ramp: Option<SlowStart>,
+    pub slow_start: Option<SlowStart>,
 }
 
 struct Shared {
@@ -174,7 +175,7 @@
     }
 
     /// A destination told this forwarder to wait.
-    pub fn told_wait(&self, dest: u64, span: Duration) {
+    pub fn record_wait(&self, dest: u64, span: Duration) {
         let (now, span) = (clock::now(), Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX));
         self.knowledge().record_wait(now, dest, span);
         if self.0.judges {
@@ -184,7 +185,7 @@
     }
 
     /// A call has ended that began so long ago.
-    pub fn ended(&self, dest: u64, took: Duration, how: CallOutcome) {
+    pub fn record_call_end(&self, dest: u64, took: Duration, how: CallOutcome) {
         let now = clock::now();
         let began = now.saturating_sub(Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX));
         if how == CallOutcome::Served {
@@ -208,7 +209,7 @@
 
     /// A duty that this process holds at this moment, by the clock as it is read here: to be asked again at the last step
     /// before an act. One under whose name another lives holds nothing.
-    pub fn held(&self, name: &str) -> Option<HeldDuty> {
+    pub fn held_duty(&self, name: &str) -> Option<HeldDuty> {
         let now = clock::now();
         if matches!(self.core().state(now), MembershipState::DuplicateName | MembershipState::Leaving) {
             return None;
@@ -217,7 +218,7 @@
     }
 
     /// Whether an act under a held duty may begin now, if it takes so long.
-    pub fn may(&self, held: &HeldDuty, takes: Duration) -> bool {
+    pub fn may_act(&self, held: &HeldDuty, takes: Duration) -> bool {
         held.may_act(clock::now(), Micros::try_from(takes.as_micros()).unwrap_or(Micros::MAX))
     }
 
@@ -226,7 +227,7 @@
     /// # Errors
     ///
     /// It is not held under that token any more, the step before is not decided, or it is too long.
-    pub fn step(&self, held: &HeldDuty, progress: Vec<u8>) -> Result<u64, StepError> {
+    pub fn record_step(&self, held: &HeldDuty, progress: Vec<u8>) -> Result<u64, StepError> {
         let step = self.duties().record_step(clock::now(), held, progress);
         self.0.stir.notify_one();
         step
@@ -237,7 +238,7 @@
     /// # Errors
     ///
     /// No such duty, nobody holds it, or the member is not there.
-    pub fn wish(&self, duty: &str, wish: OperatorRequest) -> Result<(), OperatorRequestError> {
+    pub fn operator_request(&self, duty: &str, wish: OperatorRequest) -> Result<(), OperatorRequestError> {
         let told = self.duties().operator_request(clock::now(), duty, wish);
         self.0.stir.notify_one();
         told
@@ -248,27 +249,27 @@
         let (roster, now) = (self.roster(), clock::now());
         let history = self.0.history.lock().unwrap_or_else(PoisonError::into_inner);
         let history: Vec<(u64, String)> = history.iter().cloned().collect();
-        DutiesStatus::of(&self.duties(), now, &roster, &history)
+        DutiesStatus::new(&self.duties(), now, &roster, &history)
     }
 
     /// What is known of destinations.
-    pub fn destinations(&self) -> KnowledgeStatus {
+    pub fn knowledge_status(&self) -> KnowledgeStatus {
         let (roster, now) = (self.roster(), clock::now());
         let newcomer = self.newcomer().is_pending(now);
-        KnowledgeStatus::of(&self.knowledge(), &self.outages(), now, &roster, newcomer)
+        KnowledgeStatus::new(&self.knowledge(), &self.outages(), now, &roster, newcomer)
     }
 
     /// How the shared limits stand here.
-    pub fn limits(&self) -> LimitsStatus {
+    pub fn limits_status(&self) -> LimitsStatus {
         let roster = self.roster();
         let sharing = self.sharing();
-        LimitsStatus::of(&sharing, clock::now(), &roster)
+        LimitsStatus::new(&sharing, clock::now(), &roster)
     }
 
     /// What is told to operators.
     pub fn status(&self) -> Status {
         let dropped = [self.0.spoilt.load(Ordering::Relaxed), self.0.strangers.load(Ordering::Relaxed)];
-        Status::of(&self.core(), clock::now(), dropped)
+        Status::new(&self.core(), clock::now(), dropped)
     }
 
     /// Among how many what all share is divided, now and at each change.
@@ -281,7 +282,7 @@
     /// # Errors
     ///
     /// The roster does not follow.
-    pub fn change(&self, document: Document) -> Result<(), RosterError> {
+    pub fn apply_document(&self, document: Document) -> Result<(), RosterError> {
         let mut core = self.core();
         if document.roster.reference() != core.roster().reference() {
             core.change_roster(clock::now(), document.roster)?;
@@ -378,20 +379,20 @@
     ///
     /// The sockets or the folder can't be had, or the roster lacks this member.
     pub async fn start(options: Options<'_>) -> Result<Self, FleetError> {
-        let Options { name, document, state, seed, ramp } = options;
+        let Options { name, document, state_folder, seed, slow_start } = options;
         let Document { roster, listen, addresses, timing, limits, duties, .. } = document;
         let failed = |e| FleetError::Socket(listen, e);
         let udp = UdpSocket::bind(listen).await.map_err(failed)?;
         let tcp = TcpListener::bind(listen).await.map_err(failed)?;
-        let (identity, boot) = IdentityFile::start(state, name)?;
+        let (identity, boot) = IdentityFile::open_next_boot(state_folder, name)?;
         // By the machine's chance, not by the seed: two processes under one name may have been told the same.
-        let life = InstanceId(getrandom::u64().map_err(|e| FleetError::Chance(e.to_string()))?);
+        let life = InstanceId(getrandom::u64().map_err(|e| FleetError::Random(e.to_string()))?);
         let senders = watch::Sender::new(roster.len());
         let (now, members) = (clock::now(), roster.len());
         let spans = LeaseDurations::new(timing.period, DRIFT);
         let mut sharing = SharedLimits::new(now, MemberId::from_name(name).0, life.0, members, spans);
         sharing.set_limits(now, members, &limits);
-        let (registers, found) = RegisterFile::open(state);
+        let (registers, found) = RegisterFile::open(state_folder);
         let me = duties::ProcessId { member: MemberId::from_name(name).0, instance: life.0 };
         let lease = duties::Lease::new(timing.lease, DRIFT);
         let duties = Duties::new(now, me, boot, lease, found, duties, electorate(&roster));
@@ -404,9 +405,9 @@
             outages: Mutex::new(OutageDetector::new(
                 MemberId::from_name(name).0,
                 boot,
-                ramp.unwrap_or(NO_RAMP),
+                slow_start.unwrap_or(NO_RAMP),
             )),
-            judges: ramp.is_some(),
+            judges: slow_start.is_some(),
             duties: Mutex::new(duties),
             history: Mutex::default(),
             newcomer: Mutex::new(InitialSync::new(now + timing.max_settle)),
@@ -428,7 +429,7 @@
     pub async fn run(mut self) {
         let room = Arc::new(Semaphore::new(EXCHANGES_MOST));
         // Some room more than a packet may have: longer ones are seen to be longer.
-        let mut buffer = [0u8; PACKET_MOST + 8];
+        let mut buffer = [0u8; MAX_PACKET_BYTES + 8];
         loop {
             self.carry_out().await;
             let wake = self.handle.core().next_wake().min(self.handle.sharing().next_wake());
@@ -474,14 +475,14 @@
             self.handle.0.strangers.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        if is_news(bytes) {
-            return match decode_news(bytes) {
+        if is_waits(bytes) {
+            return match decode_waits(bytes) {
                 Ok(news) => self.news(id, &news).await,
                 Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
             };
         }
-        if is_findings(bytes) {
-            return match decode_findings(bytes) {
+        if is_outages(bytes) {
+            return match decode_outages(bytes) {
                 Ok(findings) => self.heard_findings(&findings),
                 Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
             };
@@ -492,14 +493,14 @@
                 Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
             };
         }
-        if is_told(bytes) {
-            return match decode_told(bytes) {
+        if is_snapshot_part(bytes) {
+            return match decode_snapshot_part(bytes) {
                 Ok(told) => self.told(id, &told),
                 Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
             };
         }
-        if is_letter(bytes) {
-            return match decode_letter(bytes) {
+        if is_rights(bytes) {
+            return match decode_rights(bytes) {
                 Ok(letter) => {
                     let answer = self.handle.sharing().handle(clock::now(), id.0, &letter);
                     if let Some(answer) = answer {
@@ -509,7 +510,7 @@
                 Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
             };
         }
-        match decode::<Packet>(bytes, PACKET_MOST) {
+        match decode::<Packet>(bytes, MAX_PACKET_BYTES) {
             Ok(packet) if packet.header.from == id => self.handle.core().handle(clock::now(), packet),
             Ok(_) => drop(self.handle.0.strangers.fetch_add(1, Ordering::Relaxed)),
             Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
@@ -643,7 +644,7 @@
     }
 
     async fn send(&self, to: MemberId, packet: &Packet) {
-        self.put(to, encode(packet, PACKET_MOST)).await;
+        self.put(to, encode(packet, MAX_PACKET_BYTES)).await;
     }
 
     /// Sends bytes to a member. What the network does not take is lost, as on the way.
@@ -685,16 +686,16 @@
         let (peers, words) = {
             let mut knowledge = self.handle.knowledge();
             knowledge.set_boot(boot);
-            (knowledge.sample_peers(&there), knowledge.updates_to_send(now, NEWS_WORDS, there.len() + 1))
+            (knowledge.sample_peers(&there), knowledge.updates_to_send(now, MAX_REPORTS, there.len() + 1))
         };
         let findings = {
             let mut outages = self.handle.outages();
             outages.set_membership(boot, there.len() + 1);
-            outages.updates_to_send(now, NEWS_WORDS, there.len() + 1)
+            outages.updates_to_send(now, MAX_REPORTS, there.len() + 1)
         };
-        let news = News { hello: self.is_newcomer(), words };
+        let news = WaitUpdate { request_snapshot: self.is_newcomer(), reports: words };
         for to in peers {
-            if news.hello || !news.words.is_empty() {
+            if news.request_snapshot || !news.reports.is_empty() {
                 self.send_news(MemberId(to), &news).await;
             }
             if !findings.is_empty() {
@@ -704,16 +705,16 @@
     }
 
     async fn send_findings(&self, to: MemberId, findings: &[OutageReport]) {
-        self.put(to, encode_findings(findings)).await;
+        self.put(to, encode_outages(findings)).await;
     }
 
-    async fn send_news(&self, to: MemberId, news: &News) {
-        self.put(to, encode_news(news)).await;
+    async fn send_news(&self, to: MemberId, news: &WaitUpdate) {
+        self.put(to, encode_waits(news)).await;
     }
 
-    async fn news(&self, from: MemberId, news: &News) {
-        self.heard_waits(&news.words);
-        if news.hello {
+    async fn news(&self, from: MemberId, news: &WaitUpdate) {
+        self.heard_waits(&news.reports);
+        if news.request_snapshot {
             self.tell_all(from).await;
         }
     }
@@ -721,7 +722,7 @@
     fn heard_waits(&self, words: &[WaitReport]) {
         let now = clock::now();
         let mut knowledge = self.handle.knowledge();
-        for word in words.iter().take(NEWS_WORDS) {
+        for word in words.iter().take(MAX_REPORTS) {
             knowledge.receive(now, word);
             if let Some(wait) = knowledge.wait(now, word.dest).filter(|_| self.handle.0.judges) {
                 self.handle.outages().record_shutdown(now, word.dest, now.saturating_add(wait));
@@ -733,30 +734,34 @@
         if self.handle.0.judges {
             let now = clock::now();
             let mut outages = self.handle.outages();
-            findings.iter().take(NEWS_WORDS).for_each(|word| outages.receive(now, word));
+            findings.iter().take(MAX_REPORTS).for_each(|word| outages.receive(now, word));
         }
     }
 
     /// Everything that holds, for one that has just started.
     async fn tell_all(&self, to: MemberId) {
-        let (now, most) = (clock::now(), TOLD_WORDS * TOLD_PACKETS);
+        let (now, most) = (clock::now(), MAX_PART_REPORTS * TOLD_PACKETS);
         let waits = self.handle.knowledge().snapshot(now, most);
         let findings = self.handle.outages().snapshot(now, most);
-        for part in Told::parts(&waits, &findings) {
-            self.put(to, encode_told(&part)).await;
+        for part in SnapshotPart::split(&waits, &findings) {
+            self.put(to, encode_snapshot_part(&part)).await;
         }
         // A build that knows no parts takes any news for its answer.
-        self.send_news(to, &News { hello: false, words: waits.into_iter().take(NEWS_WORDS).collect() }).await;
+        self.send_news(
+            to,
+            &WaitUpdate { request_snapshot: false, reports: waits.into_iter().take(MAX_REPORTS).collect() },
+        )
+        .await;
     }
 
-    fn told(&self, from: MemberId, told: &Told) {
+    fn told(&self, from: MemberId, told: &SnapshotPart) {
         self.heard_waits(&told.waits);
-        self.heard_findings(&told.findings);
+        self.heard_findings(&told.outages);
         self.handle.newcomer().record_part(from.0, told.part, told.parts);
     }
 
     async fn post(&self, to: MemberId, letter: &Envelope) {
-        self.put(to, encode_letter(letter)).await;
+        self.put(to, encode_rights(letter)).await;
     }
 
     fn persist(&mut self, boot: u64) {
@@ -827,20 +832,20 @@
 }
 
 async fn write_whole(stream: &mut TcpStream, whole: &FullState) -> io::Result<()> {
-    let bytes = encode(whole, WHOLE_MOST).map_err(io::Error::other)?;
+    let bytes = encode(whole, MAX_FULL_STATE_BYTES).map_err(io::Error::other)?;
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&[&length.to_be_bytes()[..], &bytes].concat()).await
 }
 
 async fn read_whole(stream: &mut TcpStream) -> io::Result<FullState> {
     let length = stream.read_u32().await? as usize;
-    if length > WHOLE_MOST {
+    if length > MAX_FULL_STATE_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = Vec::new();
     // Grows as bytes come: a length alone takes no room.
     stream.take(length as u64).read_to_end(&mut bytes).await?;
-    decode(&bytes, WHOLE_MOST).map_err(io::Error::other)
+    decode(&bytes, MAX_FULL_STATE_BYTES).map_err(io::Error::other)
 }
 
 /// Whose answers count of duties: the voters of the roster.
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -20,13 +20,16 @@
     /// Boot and round of the word that counts.
     pub incarnation: String,
     /// How it stands.
-    pub state: Health,
+    #[serde(rename = "state")]
+    pub health: Health,
     /// For how long it has stood so here (ms).
     pub since_ms: u64,
     /// How long ago a packet of its own came (ms); none ever.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_received_ms: Option<u64>,
     /// Who told the word that counts.
-    pub by: Option<String>,
+    #[serde(rename = "by")]
+    pub source: Option<String>,
     /// How much longer its support for this forwarder's view holds (ms).
     pub support_ms: u64,
     /// Whether it is in the stable view.
@@ -43,21 +46,25 @@
     /// When (microseconds of `CLOCK_BOOTTIME`: comparable between processes of one machine alone).
     pub at: Micros,
     /// Until when the standing holds if nothing more is heard.
-    pub until: Micros,
+    #[serde(rename = "until")]
+    pub state_until: Micros,
     /// The forwarder's name.
     pub name: String,
     /// Its boot and round.
     pub incarnation: String,
     /// How it stands.
-    pub standing: MembershipState,
+    #[serde(rename = "standing")]
+    pub state: MembershipState,
     /// What follows.
     pub permits: Permits,
     /// Its stable view.
     pub view: String,
     /// Members in it.
-    pub there: usize,
+    #[serde(rename = "there")]
+    pub view_size: usize,
     /// Members in the roster.
-    pub roster: usize,
+    #[serde(rename = "roster")]
+    pub roster_size: usize,
     /// The roster's version and hash.
     pub roster_version: String,
     /// Among how many what all share is divided.
@@ -65,14 +72,15 @@
     /// The members, itself too.
     pub members: Vec<MemberStatus>,
     /// What came and was not believed: packets of strangers, impossible words, support that was not asked for,
-    pub refused: [u64; 3],
+    #[serde(rename = "refused")]
+    pub rejected: [u64; 3],
     /// bytes that are no packet, and packets from addresses that are no member's.
     pub dropped: [u64; 2],
 }
 
 impl Status {
     /// What a member knows at a moment. `dropped` counts what never reached it.
-    pub fn of(core: &Membership, now: Micros, dropped: [u64; 2]) -> Self {
+    pub fn new(core: &Membership, now: Micros, dropped: [u64; 2]) -> Self {
         let roster = core.roster();
         let name = |id: MemberId| roster.name_of(id).unwrap_or("?").to_owned();
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
@@ -89,10 +97,10 @@
                     zone: seat.zone.clone(),
                     votes: voters.contains(&id),
                     incarnation: record.incarnation.to_string(),
-                    state: record.health,
+                    health: record.health,
                     since_ms: entry.map_or(0, |e| ago(e.since)),
-                    heard_ms: entry.map_or(Some(0), |e| e.last_received.map(ago)),
-                    by: entry.and_then(|e| e.source).map(name),
+                    last_received_ms: entry.map_or(Some(0), |e| e.last_received.map(ago)),
+                    source: entry.and_then(|e| e.source).map(name),
                     support_ms: core.support_until(id).saturating_sub(now) / 1000,
                     in_view: core.view().members.contains_key(&id),
                     other_roster: other.map(|r| format!("{}:{:016x}", r.version, r.hash)),
@@ -104,18 +112,18 @@
         Status {
             version: 1,
             at: now,
-            until: core.state_until(),
+            state_until: core.state_until(),
             name: name(core.local_id()),
             incarnation: core.local_record().incarnation.to_string(),
-            standing: core.state(now),
+            state: core.state(now),
             permits: core.permits(now),
             view: core.view().id.to_string(),
-            there: core.view().members.len(),
-            roster: roster.len(),
+            view_size: core.view().members.len(),
+            roster_size: roster.len(),
             roster_version: format!("{}:{:016x}", mine.version, mine.hash),
             senders: core.senders(now),
             members,
-            refused: [strangers, words, support],
+            rejected: [strangers, words, support],
             dropped,
         }
     }
@@ -128,7 +136,8 @@
     #[serde(flatten)]
     pub limit: LimitStatus,
     /// Whom this member takes for its keeper.
-    pub keeper_name: Option<String>,
+    #[serde(rename = "keeper_name")]
+    pub coordinator_name: Option<String>,
 }
 
 /// How the shared limits stand here.
@@ -146,10 +155,10 @@
 
 impl LimitsStatus {
     /// What a member knows at a moment.
-    pub fn of(sharing: &SharedLimits, now: Micros, roster: &Roster) -> Self {
+    pub fn new(sharing: &SharedLimits, now: Micros, roster: &Roster) -> Self {
         let named = |limit: LimitStatus| {
             let name = limit.coordinator.and_then(|id| roster.name_of(MemberId(id)));
-            NamedLimit { keeper_name: name.map(str::to_owned), limit }
+            NamedLimit { coordinator_name: name.map(str::to_owned), limit }
         };
         let limits = sharing.status(now).into_iter().map(named).collect();
         LimitsStatus { version: 1, at: now, limits, refused: sharing.refusals() }
@@ -158,10 +167,10 @@
 
 /// What is known of a destination, with the name of whom it was told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NamedKnown {
+pub struct NamedWait {
     /// What is known.
     #[serde(flatten)]
-    pub known: KnownWait,
+    pub wait: KnownWait,
     /// Who was told.
     pub origin_name: Option<String>,
 }
@@ -177,7 +186,8 @@
     /// To whom it is pinned.
     pub pinned_name: Option<String>,
     /// Who should hold it, in this order.
-    pub ranks_names: Vec<String>,
+    #[serde(rename = "ranks_names")]
+    pub ranked_names: Vec<String>,
     /// It is held by the one that tells this, until then (microseconds of `CLOCK_BOOTTIME`).
     pub held_until: Option<Micros>,
     /// How its terms went lately, as far as this member was told, the last one first.
@@ -199,7 +209,7 @@
 
 impl DutiesStatus {
     /// What a member knows at a moment; `history` by duty.
-    pub fn of(duties: &Duties, now: Micros, roster: &Roster, history: &[(u64, String)]) -> Self {
+    pub fn new(duties: &Duties, now: Micros, roster: &Roster, history: &[(u64, String)]) -> Self {
         let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let ids: std::collections::BTreeMap<String, u64> =
             duties.duties().map(|(id, duty)| (duty.name.clone(), id)).collect();
@@ -209,7 +219,7 @@
             NamedDuty {
                 holder_name: duty.holder.map(name),
                 pinned_name: duty.pinned.map(name),
-                ranks_names: duty.ranks.iter().map(|id| name(*id)).collect(),
+                ranked_names: duty.ranks.iter().map(|id| name(*id)).collect(),
                 held_until: duties.held(now, id).map(|held| held.until),
                 history: told.collect(),
                 duty,
@@ -227,9 +237,11 @@
     #[serde(flatten)]
     pub outage: Outage,
     /// Who found it down.
-    pub found_names: Vec<String>,
+    #[serde(rename = "found_names")]
+    pub reporter_names: Vec<String>,
     /// Who tries.
-    pub tries_name: Option<String>,
+    #[serde(rename = "tries_name")]
+    pub prober_name: Option<String>,
 }
 
 /// What a forwarder knows of destinations.
@@ -240,38 +252,40 @@
     /// When (microseconds of `CLOCK_BOOTTIME`).
     pub at: Micros,
     /// Waits that hold.
-    pub waits: Vec<NamedKnown>,
+    pub waits: Vec<NamedWait>,
     /// Outages that hold, and returns.
     #[serde(default)]
     pub outages: Vec<NamedOutage>,
     /// It has just started, and nobody has told it yet what holds.
-    pub newcomer: bool,
+    #[serde(rename = "newcomer")]
+    pub is_syncing: bool,
     /// Words that were not believed.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 impl KnowledgeStatus {
     /// What a member knows at a moment.
-    pub fn of(
+    pub fn new(
         knowledge: &WaitTable,
         outages: &OutageDetector,
         now: Micros,
         roster: &Roster,
-        newcomer: bool,
+        is_syncing: bool,
     ) -> Self {
-        let named = |known: KnownWait| {
-            let origin_name = roster.name_of(MemberId(known.origin)).map(str::to_owned);
-            NamedKnown { known, origin_name }
+        let named = |wait: KnownWait| {
+            let origin_name = roster.name_of(MemberId(wait.origin)).map(str::to_owned);
+            NamedWait { wait, origin_name }
         };
         let waits = knowledge.status(now).into_iter().map(named).collect();
         let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let named = |outage: Outage| NamedOutage {
-            found_names: outage.reporters.iter().map(|(id, _)| name(*id)).collect(),
-            tries_name: outage.prober.map(name),
+            reporter_names: outage.reporters.iter().map(|(id, _)| name(*id)).collect(),
+            prober_name: outage.prober.map(name),
             outage,
         };
         let outages_now = outages.status(now).into_iter().map(named).collect();
-        let refused = knowledge.rejected() + outages.rejected();
-        KnowledgeStatus { version: 1, at: now, waits, outages: outages_now, newcomer, refused }
+        let rejected = knowledge.rejected() + outages.rejected();
+        KnowledgeStatus { version: 1, at: now, waits, outages: outages_now, is_syncing, rejected }
     }
 }
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout};
 use yarrowhill::Config;
 use yarrowhill_engine::{Answer, Call, Input, Item, Phase, Transport};
-use yarrowhill_fleet::{PACKET_MOST, WHOLE_MOST, decode, encode};
+use yarrowhill_fleet::{MAX_FULL_STATE_BYTES, MAX_PACKET_BYTES, decode, encode};
 use yarrowhill_http::{Intake, Pool, serve};
 use yarrowhill_membership::{
     FullState, InstanceId, MemberConfig, Membership, Output, Packet, Roster, Timing,
@@ -192,12 +192,12 @@
     let roster = Roster::new(1, ["n0", "n1", "n2"].map(seat).to_vec()).expect("a roster");
     let mut member = Membership::new(0, roster, "n0", 1, InstanceId(1), Timing::from_period(1000), 1)
         .expect("it is a member");
-    if let Ok(packet) = decode::<Packet>(input, PACKET_MOST) {
+    if let Ok(packet) = decode::<Packet>(input, MAX_PACKET_BYTES) {
         // Said twice, since much is answered the first time alone.
         member.handle(1, packet.clone());
         member.handle(2, packet);
     }
-    if let Ok(whole) = decode::<FullState>(input, WHOLE_MOST) {
+    if let Ok(whole) = decode::<FullState>(input, MAX_FULL_STATE_BYTES) {
         member.merge_full_state(3, whole);
     }
     (0..20).for_each(|n| member.tick(n * 500));
@@ -205,7 +205,7 @@
     assert!(outputs.len() < 1000, "{} things to do after one packet", outputs.len());
     for output in outputs {
         if let Output::Send { packet, .. } = output {
-            assert!(encode(&packet, PACKET_MOST).is_ok(), "a packet that is too long");
+            assert!(encode(&packet, MAX_PACKET_BYTES).is_ok(), "a packet that is too long");
         }
     }
     // Nobody can take it to where it is not heard any more, and nobody comes who is not in the roster.
--- a/crates/yarrowhill/src/members.rs
+++ b/crates/yarrowhill/src/members.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::Sender;
 use yarrowhill_engine::{CallWent, Gate, Input};
 use yarrowhill_fleet::{
-    CallOutcome, Document, Handle, Node, OperatorRequest, Options, SlowStart, read, serve,
+    CallOutcome, Document, Handle, Node, OperatorRequest, Options, SlowStart, parse_document, serve,
 };
 use yarrowhill_policy::api::DestId;
 
@@ -45,12 +45,12 @@
         let how = match how {
             // A short wait comes from a limit that others use up, and would make all give way in step; a long one from a
             // shut door, which is one for all.
-            CallWent::Wait(wait) if wait >= self.shut => return self.handle.told_wait(dest, wait),
+            CallWent::Wait(wait) if wait >= self.shut => return self.handle.record_wait(dest, wait),
             CallWent::Wait(_) | CallWent::Refused => CallOutcome::Refused,
             CallWent::Served => CallOutcome::Served,
             CallWent::Failed => CallOutcome::Failed,
         };
-        self.handle.ended(dest, took, how);
+        self.handle.record_call_end(dest, took, how);
     }
 
     fn may_take_on(&self) -> bool {
@@ -71,8 +71,8 @@
     pub(crate) async fn join(config: &Config) -> Result<Option<Self>, RunError> {
         let Some((name, path)) = &config.member else { return Ok(None) };
         let document = document(path, name)?;
-        let ramp = document.returns.then(|| ramp(config, &document));
-        let options = Options { name, document, state: &config.state, seed: config.seed, ramp };
+        let slow_start = document.share_outages.then(|| ramp(config, &document));
+        let options = Options { name, document, state_folder: &config.state, seed: config.seed, slow_start };
         let node = Node::start(options).await.map_err(|e| RunError::Fleet(e.to_string()))?;
         let handle = node.handle();
         let told = handle.clone();
@@ -81,8 +81,8 @@
             async move {
                 match what.as_str() {
                     "members" => serde_json::to_value(told.status()).map_err(|e| e.to_string()),
-                    "limits" => serde_json::to_value(told.limits()).map_err(|e| e.to_string()),
-                    "knowledge" => serde_json::to_value(told.destinations()).map_err(|e| e.to_string()),
+                    "limits" => serde_json::to_value(told.limits_status()).map_err(|e| e.to_string()),
+                    "knowledge" => serde_json::to_value(told.knowledge_status()).map_err(|e| e.to_string()),
                     "duties" => serde_json::to_value(told.duties_status()).map_err(|e| e.to_string()),
                     "duty-yield" => wish(&told, &with, OperatorRequest::Yield),
                     "duty-pin" => match with["member"].as_str().map(|name| member(&told, name)) {
@@ -130,7 +130,7 @@
     /// Reads the document again: what can't be read, or does not follow, changes nothing.
     pub(crate) fn reload(&self) {
         let changed = document(&self.document, &self.name)
-            .and_then(|d| self.handle.change(d).map_err(|e| RunError::Fleet(e.to_string())));
+            .and_then(|d| self.handle.apply_document(d).map_err(|e| RunError::Fleet(e.to_string())));
         match changed {
             Ok(()) => tracing::info!("fleet: document read again"),
             Err(e) => tracing::error!("fleet: document not read again: {e}"),
@@ -151,7 +151,7 @@
 /// Passes on what an operator wants of a duty.
 fn wish(handle: &Handle, with: &Value, wish: OperatorRequest) -> Result<Value, String> {
     let duty = with["duty"].as_str().ok_or("name the duty")?;
-    handle.wish(duty, wish).map(|()| Value::from("asked")).map_err(|e| e.to_string())
+    handle.operator_request(duty, wish).map(|()| Value::from("asked")).map_err(|e| e.to_string())
 }
 
 /// How destinations come back, by the settings. One tries so often that a call and the word of it have had their time: within
@@ -171,7 +171,7 @@
 fn document(path: &Path, name: &str) -> Result<Document, RunError> {
     let text =
         std::fs::read_to_string(path).map_err(|e| RunError::Fleet(format!("{}: {e}", path.display())))?;
-    read(&path.display().to_string(), &text, name).map_err(|faults| {
+    parse_document(&path.display().to_string(), &text, name).map_err(|faults| {
         let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
         RunError::Fleet(told.join("; "))
     })
--- a/crates/yarrowhill/src/operate.rs
+++ b/crates/yarrowhill/src/operate.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use yarrowhill_fleet::{
-    DutiesStatus, KnowledgeStatus, LimitStatus, LimitsStatus, MemberStatus, NamedDuty, NamedKnown,
-    NamedLimit, NamedOutage, Refusals, Status, VoteStatus, ask,
+    DutiesStatus, KnowledgeStatus, LimitStatus, LimitsStatus, MemberStatus, NamedDuty, NamedLimit,
+    NamedOutage, NamedWait, Refusals, Status, VoteStatus, ask,
 };
 
 /// Between two looks of `--watch`.
@@ -52,7 +52,8 @@
         "{:24} {:16} {:>9} {:>8} {:>8} {:>6} {:16} next\n",
         "duty", "holder", "token", "left", "known", "steps", "pinned to"
     );
-    for NamedDuty { duty, holder_name, pinned_name, ranks_names, history, .. } in &status.duties {
+    for NamedDuty { duty, holder_name, pinned_name, ranked_names: ranks_names, history, .. } in &status.duties
+    {
         let seconds = |ms: u64| ms as f64 / 1000.0;
         let _ = writeln!(
             text,
@@ -91,7 +92,7 @@
 
 fn knowledge_text(status: &KnowledgeStatus) -> String {
     let mut text = format!("{:>11} {:>9} {:>9} told to\n", "destination", "waits", "heard");
-    for NamedKnown { known, origin_name } in &status.waits {
+    for NamedWait { wait: known, origin_name } in &status.waits {
         let seconds = |micros: u64| micros as f64 / 1e6;
         let _ = writeln!(
             text,
@@ -105,7 +106,7 @@
     if status.waits.is_empty() {
         text.push_str("no destination told anybody to wait\n");
     }
-    for NamedOutage { outage, found_names, tries_name } in &status.outages {
+    for NamedOutage { outage, reporter_names: found_names, prober_name: tries_name } in &status.outages {
         let since = outage.since as f64 / 1e6;
         let _ = match outage.capacity_fraction {
             0.0 => writeln!(
@@ -120,11 +121,11 @@
             }
         };
     }
-    if status.newcomer {
+    if status.is_syncing {
         text.push_str("has just started: nobody has told it yet what holds\n");
     }
-    if status.refused > 0 {
-        let _ = writeln!(text, "not believed: {} words", status.refused);
+    if status.rejected > 0 {
+        let _ = writeln!(text, "not believed: {} words", status.rejected);
     }
     text
 }
@@ -138,7 +139,7 @@
             let known: KnowledgeStatus =
                 serde_json::from_value(ask(socket, "knowledge", Value::Null).await?)?;
             let limit = limits.limits.iter().find(|named| named.limit.limit == dest);
-            let waits: Vec<&NamedKnown> = known.waits.iter().filter(|w| w.known.dest == dest).collect();
+            let waits: Vec<&NamedWait> = known.waits.iter().filter(|w| w.wait.dest == dest).collect();
             let outage = known.outages.iter().find(|o| o.outage.dest == dest);
             if json {
                 println!(
@@ -146,7 +147,7 @@
                     serde_json::json!({"dest": dest, "limit": limit, "waits": waits, "outage": outage})
                 );
             } else {
-                if let Some(NamedOutage { outage, tries_name, .. }) = outage {
+                if let Some(NamedOutage { outage, prober_name: tries_name, .. }) = outage {
                     match (outage.capacity_fraction, tries_name.as_deref().unwrap_or("whoever has calls")) {
                         (0.0, tries) => {
                             println!("{dest}: down; {tries} tries, and the others go by its word")
@@ -164,9 +165,9 @@
     })
 }
 
-fn reasons(dest: u64, limit: Option<&NamedLimit>, waits: &[&NamedKnown]) -> String {
+fn reasons(dest: u64, limit: Option<&NamedLimit>, waits: &[&NamedWait]) -> String {
     let mut text = String::new();
-    for NamedKnown { known, origin_name } in waits {
+    for NamedWait { wait: known, origin_name } in waits {
         let _ = writeln!(
             text,
             "{dest}: told {} to wait, heard {:.1} s ago; held for {:.1} s more, unless it serves a call of ours",
@@ -175,7 +176,7 @@
             known.remaining as f64 / 1e6
         );
     }
-    let Some(NamedLimit { limit, keeper_name }) = limit else {
+    let Some(NamedLimit { limit, coordinator_name: keeper_name }) = limit else {
         let _ = writeln!(text, "{dest}: no limit that is shared; the module decides alone");
         return text;
     };
@@ -244,7 +245,7 @@
         "{:>11} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9} keeper\n",
         "destination", "limit", "may send", "floor", "lent", "borrowed", "demand", "begun", "held back"
     );
-    for NamedLimit { limit, keeper_name } in &status.limits {
+    for NamedLimit { limit, coordinator_name: keeper_name } in &status.limits {
         let LimitStatus { calls, right, floor, lent, borrowed, demand, begun, delayed: held, .. } = limit;
         let _ = write!(
             text,
@@ -271,7 +272,17 @@
 }
 
 fn text(status: &Status) -> String {
-    let Status { name, incarnation, standing, view, there, roster, senders, permits, .. } = status;
+    let Status {
+        name,
+        incarnation,
+        state: standing,
+        view,
+        view_size: there,
+        roster_size: roster,
+        senders,
+        permits,
+        ..
+    } = status;
     let mut text = format!(
         "{name} ({incarnation}) is {standing}: {there} of {roster} in view {view}, roster {}\n",
         status.roster_version
@@ -292,9 +303,9 @@
         "member", "zone", "boot", "state", "since", "heard", "by", "support"
     );
     status.members.iter().for_each(|member| row(&mut text, member));
-    let [strangers, words, support] = status.refused;
+    let [strangers, words, support] = status.rejected;
     let [spoilt, unknown] = status.dropped;
-    if status.refused != [0; 3] || status.dropped != [0; 2] {
+    if status.rejected != [0; 3] || status.dropped != [0; 2] {
         let _ = writeln!(
             text,
             "not believed: {strangers} packets and {unknown} addresses of strangers, {spoilt} spoilt, {words} words, {support} supports"
@@ -309,8 +320,8 @@
         10_000..600_000 => format!("{} s", ms / 1000),
         _ => format!("{} min", ms / 60_000),
     };
-    let MemberStatus { name, zone, incarnation, state, .. } = member;
-    let heard = member.heard_ms.map_or("never".to_owned(), span);
+    let MemberStatus { name, zone, incarnation, health: state, .. } = member;
+    let heard = member.last_received_ms.map_or("never".to_owned(), span);
     let support = match (member.votes, member.support_ms) {
         (false, _) => "-".to_owned(),
         (true, 0) => "none".to_owned(),
@@ -321,7 +332,7 @@
         "{name:16} {zone:8} {incarnation:>8} {:9} {:>8} {heard:>8} {:16} {support:>9} {}",
         state.name(),
         span(member.since_ms),
-        member.by.as_deref().unwrap_or("-"),
+        member.source.as_deref().unwrap_or("-"),
         if member.in_view { "yes" } else { "no" }
     );
     match &member.other_roster {
