--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -4,9 +4,9 @@
 //! answer that it has not read yet. So sending is ended first, which tells the client that nothing more will come; what
 //! it still sends is read for a bounded time and thrown away, and it hands that in once more on a new connection.
 
-use crate::heads::Heads;
+use crate::head_scanner::Heads;
 use crate::intake::Intake;
-use crate::watched::{Watch, Watched};
+use crate::observed::{Watch, Watched};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection that this program opened. It carries one request at a time and never sends a
 //! request twice: a pooled client may, and a call that is sent again may take effect again.
 
-use crate::watched::{Watch, Watched};
+use crate::observed::{Watch, Watched};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Keeps the list of endpoints: one watch after another. When to ask, and for what, is [`crate::refresh`]'s.
+//! Keeps the list of endpoints: one watch after another. When to ask, and for what, is [`crate::schedule`]'s.
 
 use crate::connection::{self, Connection};
-use crate::refresh::{Ask, Failure, Refresh};
+use crate::schedule::{Ask, Failure, Refresh};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,12 @@
 //! HTTP/1.1 round the engine, as PROTOCOL describes it: clients' requests in, calls to endpoints out, the list of
 //! endpoints, and notices.
 //!
-//! - `intake`, `heads`: clients' requests
+//! - `intake`, `head_scanner`: clients' requests
 //! - `clients`: their connections, which of them give way where descriptors run short, and how each ends
-//! - `watched`: a stream whose bytes are looked at before the parser has them
+//! - `observed`: a stream whose bytes are looked at before the parser has them
 //! - `connection`: one connection that this program opened, and that never resends
 //! - `calls`, `pool`: calls and their outcomes; the engine's transport
-//! - `discovery`, `notices`: the platform; `refresh`: when to ask it for the list
+//! - `discovery`, `notices`: the platform; `schedule`: when to ask it for the list
 //!
 //! What anybody may send is bounded: heads, bodies, answers, lists, and the time that each may take.
 
@@ -14,12 +14,12 @@
 mod clients;
 mod connection;
 pub mod discovery;
-mod heads;
+mod head_scanner;
 mod intake;
 pub mod notices;
+mod observed;
 mod pool;
-mod refresh;
-mod watched;
+mod schedule;
 
 pub use clients::serve;
 pub use intake::Intake;
