--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -47,23 +47,23 @@
     }
 }
 
-/// Who keeps the list.
+/// Parameters of the watch on the endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct Watcher {
-    /// The version that is known.
-    pub rev: u64,
-    /// Forwarders that share discovery with this one, itself among them; none where an agent of its own has what is
-    /// pushed.
-    pub askers: Option<usize>,
-    /// For random numbers.
+pub struct WatchConfig {
+    /// Version of the list that is known at the start.
+    pub version: u64,
+    /// Number of forwarders that poll the same discovery service, this one included; `None` where a local agent
+    /// receives pushed updates, which cost the service nothing.
+    pub forwarders: Option<usize>,
+    /// Seed of the random numbers that spread the requests.
     pub seed: u64,
 }
 
 /// Watches for ever; whatever is told goes to the engine in its order. A new address breaks off the watch at the old
 /// one, and the whole list is asked for there: the old one may have fallen behind.
-pub async fn watch(mut at: watch::Receiver<SocketAddr>, watcher: Watcher, engine: Sender<Input>) {
-    let chance = ChaCha8Rng::seed_from_u64(watcher.seed);
-    let mut refresh = Refresh::new(watcher.askers, watcher.rev, chance);
+pub async fn watch(mut at: watch::Receiver<SocketAddr>, config: WatchConfig, engine: Sender<Input>) {
+    let chance = ChaCha8Rng::seed_from_u64(config.seed);
+    let mut refresh = Refresh::new(config.forwarders, config.version, chance);
     let mut connection = None;
     // A new address is tried at once.
     let _ = timeout(refresh.first(), at.changed()).await;
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -10,7 +10,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 use yarrowhill_engine::{Engine, Input, JournalError, Options, Phase};
-use yarrowhill_http::discovery::{self, Watcher};
+use yarrowhill_http::discovery::{self, WatchConfig};
 use yarrowhill_http::{Intake, Pool, notices};
 
 /// What may wait for the engine at a time.
@@ -62,9 +62,9 @@
 
 /// Who keeps the list, and how many others do. What is pushed is had from an agent of the forwarder's own machine, at
 /// no cost to anybody; only what has to be asked for is shared with the others.
-pub(crate) fn watcher(config: &Config) -> Watcher {
-    let askers = config.settings.must_subscribe.then_some(config.settings.senders);
-    Watcher { rev: config.known.version, askers, seed: config.seed }
+pub(crate) fn watcher(config: &Config) -> WatchConfig {
+    let forwarders = config.settings.must_subscribe.then_some(config.settings.senders);
+    WatchConfig { version: config.known.version, forwarders, seed: config.seed }
 }
 
 /// Reads the file again at each SIGHUP and passes on discovery's address; all else that the file tells holds
