--- a/crates/checker/src/accounts.rs
+++ b/crates/checker/src/accounts.rs
@@ -1,32 +1,32 @@
-//! What became of every message: taken on = delivered + given up + handed back + over + open.
+//! Counts how every message ended: accepted = delivered + given up + handed back + over + open.
 
 use crate::ledger::{CallEnd, ClientOutcome, Entry, Event};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The messages of one class.
+/// Counts of the messages of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// Handed in, each id once.
+    /// Messages submitted, each id counted once.
     pub sent: usize,
-    /// Refused before they were taken on.
+    /// Messages refused before they were accepted.
     pub refused: usize,
-    /// Failed, or never answered, before they were taken on.
+    /// Messages whose request failed or was never answered before they were accepted.
     pub failed: usize,
-    /// Taken on.
+    /// Messages accepted.
     pub taken_on: usize,
-    /// Of these: delivered.
+    /// Accepted messages that were delivered.
     pub delivered: usize,
-    /// Of these: given up by a notice, and not known as delivered.
+    /// Accepted messages that a notice gave up and that are not known to be delivered.
     pub given_up: usize,
-    /// Of these: handed back by a notice.
+    /// Accepted messages that a notice handed back.
     pub handed_back: usize,
-    /// Of these: called over by the destination.
+    /// Accepted messages that the destination declared over.
     pub over: usize,
-    /// Of these: without any end.
+    /// Accepted messages without any end.
     pub open: usize,
 }
 
-/// Accounts by class.
+/// Counts the messages of a ledger by class.
 pub fn accounts(ledger: &[Entry]) -> BTreeMap<String, Account> {
     let mut class_of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut taken: BTreeSet<&str> = BTreeSet::new();
@@ -44,7 +44,7 @@
             Event::Notice { id, handed_back: true, acknowledged: true } => (&mut handed_back, id),
             Event::Notice { id, handed_back: false, acknowledged: true } => (&mut given_up, id),
             Event::Answered { ends, .. } => {
-                let of = |end| ends.iter().filter(move |(_, e)| *e == end).map(|(id, _)| id.as_str());
+                let of = |end| ends.iter().filter(move |(_, other)| *other == end).map(|(id, _)| id.as_str());
                 delivered.extend(of(CallEnd::Delivered));
                 over.extend(of(CallEnd::Over));
                 continue;
--- a/crates/checker/src/duties.rs
+++ b/crates/checker/src/duties.rs
@@ -1,89 +1,111 @@
-//! Who held which duty, from what processes claimed of themselves: never two at a time, and tokens that only grow. Shares no code
-//! with the package that decides it.
+//! Judges the duties that processes claim to hold: never two holders at a time, and tokens that only
+//! increase. Shares no code with the package that assigns duties.
 
 use crate::fleet::{FleetBreach, FleetEntry, FleetEvent};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A process says that it holds a duty.
+/// A process's statement that it holds a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyClaim {
-    /// Which process.
+    /// Number of the process.
     #[serde(rename = "who")]
     pub process: usize,
-    /// Its life, counted by the rig: a new start is another process.
+    /// Number of the process's current run, given by the rig: a new start counts as another process.
     pub life: usize,
-    /// Which duty.
+    /// Name of the duty.
     pub duty: String,
-    /// Under which token.
+    /// Fencing token under which the duty is held.
     pub token: u64,
-    /// When it looked, and until when it holds without a further word (microseconds of a clock that all processes of the
-    /// machine share).
+    /// When the process read its state, and until when it holds the duty without a further renewal
+    /// (microseconds of a clock that all processes of the machine share).
     #[serde(rename = "span")]
     pub valid_us: [u64; 2],
     /// Steps of progress so far.
     pub step: u64,
 }
 
-/// Whose, in which life, from which claim to which, and when the last of them was told.
-type Span = (usize, usize, u64, u64, f64);
+/// The time over which one process claimed a duty under one token.
+struct Tenure {
+    process: usize,
+    life: usize,
+    /// Time of the first claim (us).
+    first_us: u64,
+    /// Time of the last claim (us).
+    last_us: u64,
+    /// Ledger time of the last claim (ms).
+    recorded_at: f64,
+}
 
-/// Judges claims, and at the end of a run that was mended, that each of so many duties is held by somebody.
-pub(crate) fn duties(ledger: &[FleetEntry], duties: usize, last: f64, breaches: &mut Vec<FleetBreach>) {
-    // By duty: each token with its process and the span over which it was claimed, as it goes on from claim to claim.
-    let mut terms: BTreeMap<&str, BTreeMap<u64, Span>> = BTreeMap::new();
+/// Judges duty claims: one holder per token and no two tenures that overlap. From `last` (ms) on, each of
+/// `duties` duties must be claimed by a process.
+pub(crate) fn check_duties(ledger: &[FleetEntry], duties: usize, last: f64, breaches: &mut Vec<FleetBreach>) {
+    // By duty and token.
+    let mut tenures: BTreeMap<&str, BTreeMap<u64, Tenure>> = BTreeMap::new();
     for entry in ledger {
-        let FleetEvent::DutyClaimed(DutyClaim { process: who, life, duty, token, valid_us: span, .. }) =
-            &entry.event
+        let FleetEvent::DutyClaimed(DutyClaim { process, life, duty, token, valid_us, .. }) = &entry.event
         else {
             continue;
         };
-        let [at, until] = *span;
+        let [at, until] = *valid_us;
         if until <= at {
-            let what = format!("{who} claims {duty} under token {token}, and its lease is over");
-            breaches.push(FleetBreach { at: entry.at, text: what });
+            let text = format!("{process} claims {duty} under token {token} after its lease expired");
+            breaches.push(FleetBreach { at: entry.at, text });
             return;
         }
-        let term = terms.entry(duty).or_default().entry(*token).or_insert((*who, *life, at, at, entry.at));
-        if (term.0, term.1) != (*who, *life) {
-            let what = format!("{duty} is held under token {token} by {} and by {who}", term.0);
-            breaches.push(FleetBreach { at: entry.at, text: what });
+        let tenure = tenures.entry(duty).or_default().entry(*token).or_insert(Tenure {
+            process: *process,
+            life: *life,
+            first_us: at,
+            last_us: at,
+            recorded_at: entry.at,
+        });
+        if (tenure.process, tenure.life) != (*process, *life) {
+            let text = format!("{duty} is held under token {token} by {} and by {process}", tenure.process);
+            breaches.push(FleetBreach { at: entry.at, text });
             return;
         }
-        // A token is of one term, which never resumes: it held from the first claim to the last.
-        (term.2, term.3, term.4) = (term.2.min(at), term.3.max(at), entry.at);
+        // A token belongs to one tenure, which never resumes: the duty was held from the first claim to the
+        // last.
+        tenure.first_us = tenure.first_us.min(at);
+        tenure.last_us = tenure.last_us.max(at);
+        tenure.recorded_at = entry.at;
     }
-    for (duty, terms) in &terms {
-        let in_order: Vec<_> = terms.iter().collect();
+    for (duty, tenures) in &tenures {
+        let in_order: Vec<_> = tenures.iter().collect();
         for pair in in_order.windows(2) {
-            let (token, (who, .., end, _)) = pair[0];
-            let (next, (other, _, begin, _, at)) = pair[1];
-            if begin <= end {
-                let what = format!(
-                    "{duty} is held by {other} under token {next} before {who} under {token} is over: {} us too early",
-                    end - begin
+            let (token, earlier) = pair[0];
+            let (next, later) = pair[1];
+            if later.first_us <= earlier.last_us {
+                let text = format!(
+                    "{duty} is held by {} under token {next} {} us too early: {} holds it under {token}",
+                    later.process,
+                    earlier.last_us - later.first_us,
+                    earlier.process
                 );
-                breaches.push(FleetBreach { at: *at, text: what });
+                breaches.push(FleetBreach { at: later.recorded_at, text });
                 return;
             }
         }
     }
-    let held = terms.values().filter(|terms| terms.values().any(|(.., at)| *at >= last)).count();
+    let held =
+        tenures.values().filter(|tenures| tenures.values().any(|tenure| tenure.recorded_at >= last)).count();
     if held < duties {
-        let what = format!("{held} of {duties} duties are held at the end");
-        breaches.push(FleetBreach { at: last, text: what });
+        let text = format!("{held} of {duties} duties are held at the end");
+        breaches.push(FleetBreach { at: last, text });
     }
 }
 
-/// How long nobody held a duty between two terms (ms), over all of them.
+/// Returns the times (ms) between two successive tenures of a duty in which no process held it, over all
+/// duties.
 pub fn vacancies(ledger: &[FleetEntry]) -> Vec<f64> {
     let mut last: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut gaps = Vec::new();
     for entry in ledger {
-        let FleetEvent::DutyClaimed(DutyClaim { duty, token, valid_us: span, .. }) = &entry.event else {
+        let FleetEvent::DutyClaimed(DutyClaim { duty, token, valid_us, .. }) = &entry.event else {
             continue;
         };
-        let at = span[0];
+        let at = valid_us[0];
         match last.get(duty.as_str()) {
             Some((before, until)) if before != token => gaps.push(at.saturating_sub(*until) as f64 / 1000.0),
             _ => {}
@@ -97,20 +119,20 @@
 mod tests {
     use super::*;
 
-    fn holds(who: usize, token: u64, at: u64) -> FleetEntry {
+    fn holds(process: usize, token: u64, at: u64) -> FleetEntry {
         let claim =
-            DutyClaim { process: who, life: 0, duty: "a".into(), token, valid_us: [at, at + 400], step: 0 };
+            DutyClaim { process, life: 0, duty: "a".into(), token, valid_us: [at, at + 400], step: 0 };
         FleetEntry { at: at as f64 / 1000.0, event: FleetEvent::DutyClaimed(claim) }
     }
 
     fn found(ledger: &[FleetEntry], last: f64) -> Vec<String> {
         let mut breaches = Vec::new();
-        duties(ledger, 1, last, &mut breaches);
+        check_duties(ledger, 1, last, &mut breaches);
         breaches.into_iter().map(|b| b.text).collect()
     }
 
     #[test]
-    fn one_after_the_other_is_right_and_two_at_once_or_a_token_twice_are_not() {
+    fn accepts_successive_tenures_and_reports_overlaps_and_reused_tokens() {
         let right = [holds(0, 1, 100), holds(0, 1, 300), holds(1, 2, 800), holds(0, 5, 2000)];
         assert_eq!(found(&right, 1.0), Vec::<String>::new());
         assert_eq!(vacancies(&right), [0.5, 1.2]);
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Judges what several processes claimed of their fleet, from the ledger alone: what was done to them and to the links
-//! between them, and what each said of itself and of the others. Shares no code with membership; the table of what a
-//! standing allows is written a second time here.
+//! Judges the claims that the processes of a fleet make, from the ledger alone: it holds what the rig did to
+//! the processes and the links between them, and what each process said of itself and of the others. Shares
+//! no code with the membership package; the table of what each standing permits is written here a second
+//! time.
 
 use crate::duties::DutyClaim;
 use crate::returns::ColdStart;
@@ -17,189 +18,193 @@
     pub event: FleetEvent,
 }
 
-/// What happened.
+/// What the rig did, measured, or received from a process of a fleet. Processes are named by number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetEvent {
-    /// A process was started,
+    /// A process was started.
     Started(usize),
-    /// ended, by a signal that it sees or by one that it does not,
+    /// A process ended, by a signal that it can or cannot handle.
     #[serde(rename = "Ended")]
     Exited(usize),
-    /// stopped,
+    /// A process was stopped, and can be resumed.
     #[serde(rename = "Stopped")]
     Paused(usize),
-    /// or woken.
+    /// A stopped process was resumed.
     #[serde(rename = "Woken")]
     Resumed(usize),
-    /// A direction carries, or is cut.
+    /// One direction of a link was opened or cut.
     Link {
-        /// From whom.
+        /// The sending process.
         from: usize,
-        /// To whom.
+        /// The receiving process.
         to: usize,
-        /// Whether anything comes through.
+        /// Whether packets and connections pass.
         open: bool,
     },
-    /// Links carry worse, or as well as at first: while they carry worse, nobody is judged by its detector.
+    /// The quality of the links changed. While it is degraded, failure detectors are not judged.
     #[serde(rename = "Weather")]
     LinkQuality {
-        /// Loss, delay, half-open connections.
+        /// Whether there is loss, delay, or half-open connections.
         #[serde(rename = "rough")]
         degraded: bool,
     },
-    /// What a direction carried and lost.
+    /// Traffic over one direction of a link.
     #[serde(rename = "Carried")]
     Traffic {
-        /// From whom.
+        /// The sending process.
         from: usize,
-        /// To whom.
+        /// The receiving process.
         to: usize,
-        /// Packets that went on their way,
+        /// Packets passed on.
         packets: u64,
-        /// that were lost,
+        /// Packets lost.
         lost: u64,
-        /// and connections.
+        /// Connections passed on.
         #[serde(rename = "streams")]
         connections: u64,
     },
-    /// The folder of a process takes no more, or does again.
+    /// The state folder of a process became full, or writable again.
     Disk {
-        /// Whose.
+        /// The process.
         #[serde(rename = "who")]
         process: usize,
-        /// Whether it is full.
+        /// Whether the folder is full.
         full: bool,
     },
-    /// Another process lives under the name of one, or no longer.
+    /// A second process under the name of another was started or ended.
     #[serde(rename = "Twin")]
     Duplicate {
-        /// Whose name.
+        /// The process whose name is duplicated.
         #[serde(rename = "who")]
         process: usize,
-        /// Whether it lives.
+        /// Whether the second process runs.
         #[serde(rename = "lives")]
         running: bool,
     },
-    /// The folder of a process held this boot number.
+    /// The state folder of a process was found to hold this boot number.
     #[serde(rename = "Written")]
     BootStored {
-        /// Whose folder.
+        /// The process.
         #[serde(rename = "who")]
         process: usize,
-        /// The number.
+        /// The boot number.
         boot: u64,
     },
     /// The first byte of a call reached an endpoint of a destination.
     Began {
-        /// From whom.
+        /// The calling process.
         from: usize,
-        /// Whose endpoint.
+        /// The destination.
         dest: u64,
     },
-    /// A destination told a process to wait.
+    /// A destination returned a wait to a process.
     #[serde(rename = "Waits")]
     WaitReturned {
-        /// Whom.
+        /// The process.
         #[serde(rename = "who")]
         process: usize,
-        /// Whose endpoint.
+        /// The destination.
         dest: u64,
-        /// How long (ms).
+        /// Duration of the wait (ms).
         #[serde(rename = "wait")]
         wait_ms: f64,
     },
-    /// A destination of everybody is down, or back and cold.
+    /// A destination went down for all processes, or came back with reduced capacity.
     Outage {
-        /// Which.
+        /// The destination.
         dest: u64,
-        /// Whether it is back.
+        /// Whether the outage is over.
         back: bool,
     },
-    /// All are told another roster.
+    /// All processes were given another roster.
     Roster {
-        /// Which.
+        /// Version of the roster.
         version: u64,
     },
-    /// What all together may send to each destination from now on (calls a second).
+    /// The limit that all processes share was set, for each destination.
     Limit {
-        /// So much.
+        /// The limit (calls a second).
         #[serde(rename = "calls")]
         calls_per_sec: f64,
     },
-    /// A process said this of itself.
+    /// A process reported its state.
     #[serde(rename = "Told")]
     Claimed(Claim),
-    /// A process said that it holds a duty.
+    /// A process reported that it holds a duty.
     #[serde(rename = "Holds")]
     DutyClaimed(DutyClaim),
-    /// The other process under a name said this of itself.
+    /// The second process under a name reported its state.
     #[serde(rename = "TwinTold")]
     DuplicateClaimed(Claim),
 }
 
-/// What a process says.
+/// The state that a process reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Which process.
+    /// Number of the process.
     #[serde(rename = "who")]
     pub process: usize,
-    /// When it looked, and until when that holds if it hears nothing more (microseconds of a clock that all processes
-    /// of the machine share).
+    /// When the process read its state, and until when that holds if it receives nothing more (microseconds
+    /// of a clock that all processes of the machine share).
     #[serde(rename = "span")]
     pub valid_us: [u64; 2],
-    /// Its standing.
+    /// Standing of the process.
     pub standing: String,
-    /// Whether it may do what one side alone may do.
+    /// Whether the process may do what only one side of a partition may do.
     #[serde(rename = "acts")]
     pub may_act: bool,
-    /// Whether it takes on, sends on, and is ready.
+    /// Whether the process accepts messages, sends messages, and is ready.
     pub serves: [bool; 3],
-    /// Its view.
+    /// Id of the process's view.
     pub view: String,
-    /// Whose support counts, by number.
+    /// Numbers of the voters.
     pub voters: Vec<usize>,
-    /// Members of its view, by number.
+    /// Numbers of the members of the view.
     #[serde(rename = "there")]
     pub members: Vec<usize>,
-    /// How it holds each process to stand, by number.
+    /// Health that the process believes each process to have, by number.
     pub states: Vec<String>,
-    /// Among how many it divides what all share.
+    /// Number of senders among which the process divides what all share.
     pub senders: usize,
-    /// The highest boot that it has heard of each process, by number; 0 where it has heard of none.
+    /// Highest boot number that the process has received of each process, by number; 0 where it has received
+    /// none.
     pub boots: Vec<u64>,
 }
 
-/// How soon what must hold (ms).
+/// Time limits by which a fleet is judged.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetParams {
-    /// A death is known to all who are connected, and nobody who is connected is held for dead, after so long.
+    /// Time within which the death of a process is known to all connected processes, and after which no
+    /// connected process is believed dead.
     pub detect_ms: f64,
-    /// The same where most are gone: whoever hears nobody doubts itself first, and probes more slowly.
+    /// The same time for a process that is connected to at most half of the fleet: a process that receives
+    /// nothing suspects itself first and probes more slowly.
     pub detect_minority_ms: f64,
-    /// All who are connected hold one view after so long, from when the dead are known on.
+    /// Time within which all connected processes hold one view, from when the deaths are known.
     pub agree_ms: f64,
-    /// A view stands for so long at least: a change is one step and no flicker.
+    /// Minimum time between two changes of a view: a change is one step, without flapping.
     pub settle_ms: f64,
-    /// What was heard of another process under one's own name counts for so long after its end.
+    /// Time after the end of a duplicate process during which what was received from it still counts.
     pub duplicate_expiry_ms: f64,
-    /// A wait of this length is not one of a limit: all keep it,
+    /// Waits at least this long do not stem from a rate limit, and all processes obey them.
     pub long_wait_ms: f64,
-    /// once they have heard of it: after so long.
+    /// Time within which all processes know of a long wait.
     pub wait_spread_ms: f64,
-    /// So many duties there are, and from then on each is held, since all is mended.
+    /// Number of duties, and the time (ms since the start of the run) from which on each must be claimed: all
+    /// faults have ended by then.
     pub duties: (usize, f64),
-    /// What holds of destinations that were down.
+    /// Parameters for judging destinations that were down.
     pub recovery: ColdStart,
-    /// How late the rig's own clocks were.
+    /// Measured lateness of the rig's own clocks.
     pub clock_slack_ms: f64,
 }
 
 /// A property of a fleet that did not hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetBreach {
-    /// When (ms).
+    /// Time of the breach (ms since the start of the run).
     pub at: f64,
-    /// What.
+    /// Description of the breach.
     pub text: String,
 }
 
@@ -209,134 +214,155 @@
     }
 }
 
-/// Judges a run of `size` processes.
-pub fn judge_fleet(terms: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<FleetBreach> {
+/// Judges a run of `size` processes and returns the breaches in the order of their times.
+pub fn judge_fleet(params: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<FleetBreach> {
     let mut breaches = Vec::new();
-    exclusive(ledger, &mut breaches);
-    table(ledger, &mut breaches);
-    steps(terms, ledger, &mut breaches);
-    connected(terms, size, ledger, &mut breaches);
-    written(ledger, &mut breaches);
-    twins(terms, ledger, &mut breaches);
-    waits(terms, ledger, &mut breaches);
-    crate::returns::returns(terms, size, ledger, &mut breaches);
-    let (duties, last) = terms.duties;
-    crate::duties::duties(ledger, duties, last, &mut breaches);
-    let reach = judge_limit(terms, ledger);
-    // One whole call that each has saved up, and a tenth of a second of the limit; then how late the rig's clocks were.
-    let allowed = size as f64 + reach.max_limit * (0.1 + terms.clock_slack_ms / 1000.0) + 1.0;
-    if let Some((at, excess)) = reach.excess.filter(|(_, excess)| *excess > allowed) {
-        let what = format!("{excess:.1} calls beyond the limit, {allowed:.1} are allowed");
-        breaches.push(FleetBreach { at, text: what });
+    check_exclusive_views(ledger, &mut breaches);
+    check_permits(ledger, &mut breaches);
+    check_view_changes(params, ledger, &mut breaches);
+    check_detection_and_agreement(params, size, ledger, &mut breaches);
+    check_boots_stored(ledger, &mut breaches);
+    check_duplicates(params, ledger, &mut breaches);
+    check_waits(params, ledger, &mut breaches);
+    crate::returns::check_outages(params, size, ledger, &mut breaches);
+    let (duties, last) = params.duties;
+    crate::duties::check_duties(ledger, duties, last, &mut breaches);
+    let limit_use = judge_limit(params, ledger);
+    // One call that each process has accumulated, a tenth of a second of the limit, and the lateness of the
+    // rig's clocks.
+    let allowed = size as f64 + limit_use.max_limit * (0.1 + params.clock_slack_ms / 1000.0) + 1.0;
+    if let Some((at, excess)) = limit_use.excess.filter(|(_, excess)| *excess > allowed) {
+        let text = format!("{excess:.1} calls beyond the limit, {allowed:.1} are allowed");
+        breaches.push(FleetBreach { at, text });
     }
     breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
     breaches
 }
 
-/// What reached destinations that have a limit, from all processes together.
+/// How the calls of all processes together used the limits of destinations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitUse {
-    /// When the span ended (ms) over which the most came beyond the limit to one destination, and how many calls.
+    /// End of the period (ms since the start of the run) in which one destination received the most calls
+    /// beyond its limit, and the number of those calls.
     pub excess: Option<(f64, f64)>,
-    /// Calls that came while there was a limit,
+    /// Calls that arrived while there was a limit.
     pub calls: usize,
-    /// and as a part of what the limits allowed for destinations that anything came to.
+    /// The same calls as a share of what the limits allowed, over the destinations that received any.
     pub used: f64,
-    /// The largest limit (calls a second).
+    /// The highest limit (calls a second).
     pub max_limit: f64,
 }
 
-/// What reached destinations, against the limits that held. A limit that falls holds from `slack` later on: until then its
-/// news is on the way to the processes.
-pub fn judge_limit(terms: &FleetParams, ledger: &[FleetEntry]) -> LimitUse {
+/// Compares the calls that reached destinations with their limits. A lowered limit counts from
+/// `clock_slack_ms` later on: until then the change is on its way to the processes.
+pub fn judge_limit(params: &FleetParams, ledger: &[FleetEntry]) -> LimitUse {
     let mut limits: Vec<(f64, f64)> = Vec::new();
-    let mut came: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Limit { calls_per_sec: calls } => {
-                let falls = limits.last().is_some_and(|(_, last)| calls < last);
-                limits.push((entry.at + if falls { terms.clock_slack_ms } else { 0.0 }, *calls));
+            FleetEvent::Limit { calls_per_sec } => {
+                let lowered = limits.last().is_some_and(|(_, last)| calls_per_sec < last);
+                limits.push((entry.at + if lowered { params.clock_slack_ms } else { 0.0 }, *calls_per_sec));
             }
-            FleetEvent::Began { dest, .. } => came.entry(*dest).or_default().push(entry.at),
+            FleetEvent::Began { dest, .. } => arrivals.entry(*dest).or_default().push(entry.at),
             _ => {}
         }
     }
-    let mut reach =
+    let mut limit_use =
         LimitUse { max_limit: limits.iter().map(|l| l.1).fold(0.0, f64::max), ..LimitUse::default() };
-    let Some(first) = limits.first().map(|l| l.0) else { return reach };
-    // What the limits have allowed since the first of them.
+    let Some(first) = limits.first().map(|l| l.0) else { return limit_use };
+    // Calls that the limits have allowed since the first limit.
     let allowed = |at: f64| -> f64 {
         let ends = limits.iter().skip(1).map(|l| l.0).chain([f64::INFINITY]);
         limits.iter().zip(ends).map(|((from, calls), to)| (at.min(to) - from).max(0.0) / 1000.0 * calls).sum()
     };
-    // Nothing is asked for any more after the last of them.
-    let end = came.values().flatten().copied().fold(first, f64::max);
-    let dests = came.len().max(1) as f64;
-    for mut times in came.into_values() {
+    // No load is offered after the last arrival.
+    let end = arrivals.values().flatten().copied().fold(first, f64::max);
+    let dests = arrivals.len().max(1) as f64;
+    for mut times in arrivals.into_values() {
         times.retain(|at| *at >= first);
         times.sort_by(f64::total_cmp);
-        reach.calls += times.len();
-        // Over the span from one call to another: their number less what was allowed meanwhile.
-        let mut least = f64::INFINITY;
+        limit_use.calls += times.len();
+        // Over each period from one call to another: the number of calls less the number allowed in it.
+        let mut lowest = f64::INFINITY;
         for (n, at) in times.into_iter().enumerate() {
-            least = least.min(n as f64 - allowed(at));
-            let excess = (n + 1) as f64 - allowed(at) - least;
-            if reach.excess.is_none_or(|(_, most)| excess > most) {
-                reach.excess = Some((at, excess));
+            lowest = lowest.min(n as f64 - allowed(at));
+            let excess = (n + 1) as f64 - allowed(at) - lowest;
+            if limit_use.excess.is_none_or(|(_, max)| excess > max) {
+                limit_use.excess = Some((at, excess));
             }
         }
     }
-    reach.used = reach.calls as f64 / (dests * allowed(end)).max(1.0);
-    reach
+    limit_use.used = limit_use.calls as f64 / (dests * allowed(end)).max(1.0);
+    limit_use
 }
 
-/// No two processes act under two views at one instant.
-fn exclusive(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    // A process that said twice in a row that it acts under a view acted between the two looks, as far as the first
-    // claim reached.
+/// A period in which a process acted under a view (us). Ordered by its start.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ActingPeriod<'a> {
+    from: u64,
+    until: u64,
+    view: &'a str,
+    process: usize,
+}
+
+/// Checks that no two processes act under different views at the same time.
+fn check_exclusive_views(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+    // A process that reported twice in a row that it acts under a view acted between the two reports, as far
+    // as the first claim was valid.
     let mut last: BTreeMap<usize, &Claim> = BTreeMap::new();
-    let mut acted: Vec<(u64, u64, &str, usize)> = Vec::new();
+    let mut periods: Vec<ActingPeriod> = Vec::new();
     for entry in ledger {
         match &entry.event {
             FleetEvent::Claimed(claim) => {
                 if claim.may_act {
-                    let (mut from, to) = (claim.valid_us[0], claim.valid_us[0] + 1);
-                    if let Some(before) =
-                        last.get(&claim.process).filter(|c| c.may_act && c.view == claim.view)
-                    {
+                    let Claim { process, view, valid_us: [at, _], .. } = claim;
+                    let mut from = *at;
+                    if let Some(before) = last.get(process).filter(|c| c.may_act && c.view == *view) {
                         from = before.valid_us[0];
-                        if before.valid_us[1] < claim.valid_us[0] {
-                            acted.push((from, before.valid_us[1], &claim.view, claim.process));
-                            from = claim.valid_us[0];
+                        if before.valid_us[1] < *at {
+                            periods.push(ActingPeriod {
+                                from,
+                                until: before.valid_us[1],
+                                view,
+                                process: *process,
+                            });
+                            from = *at;
                         }
                     }
-                    acted.push((from, to, &claim.view, claim.process));
+                    periods.push(ActingPeriod { from, until: at + 1, view, process: *process });
                 }
                 last.insert(claim.process, claim);
             }
-            FleetEvent::Started(who) | FleetEvent::Exited(who) => drop(last.remove(who)),
+            FleetEvent::Started(process) | FleetEvent::Exited(process) => drop(last.remove(process)),
             _ => {}
         }
     }
-    acted.sort_unstable();
-    let mut open: Vec<(u64, u64, &str, usize)> = Vec::new();
-    for span in acted {
-        open.retain(|other| other.1 > span.0);
-        if let Some(other) = open.iter().find(|other| other.2 != span.2) {
-            let what = format!("{} acts under {}, and {} under {}", other.3, other.2, span.3, span.2);
+    periods.sort_unstable();
+    let mut open: Vec<ActingPeriod> = Vec::new();
+    for period in periods {
+        open.retain(|other| other.until > period.from);
+        if let Some(other) = open.iter().find(|other| other.view != period.view) {
+            let text = format!(
+                "{} acts under {}, and {} under {}",
+                other.process, other.view, period.process, period.view
+            );
             let at = ledger.iter().find_map(|e| match &e.event {
-                FleetEvent::Claimed(c) if c.process == span.3 && c.valid_us[0] >= span.0 => Some(e.at),
+                FleetEvent::Claimed(c) if c.process == period.process && c.valid_us[0] >= period.from => {
+                    Some(e.at)
+                }
                 _ => None,
             });
-            breaches.push(FleetBreach { at: at.unwrap_or(0.0), text: what });
+            breaches.push(FleetBreach { at: at.unwrap_or(0.0), text });
             return;
         }
-        open.push(span);
+        open.push(period);
     }
 }
 
-/// What a standing allows: acts; takes on, sends on, ready.
-fn allowed(standing: &str) -> Option<(bool, [bool; 3])> {
+/// Returns what a standing permits: whether the process may act; whether it accepts messages, sends messages,
+/// and is ready.
+fn permits(standing: &str) -> Option<(bool, [bool; 3])> {
     Some(match standing {
         "whole" | "majority" => (true, [true, true, true]),
         "minority" | "unsettled" | "alone" => (false, [true, true, true]),
@@ -347,72 +373,78 @@
     })
 }
 
-fn table(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+/// Checks that each process does what its standing permits, and that it acts only with a majority of the
+/// voters.
+fn check_permits(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     for entry in ledger {
         let (FleetEvent::Claimed(claim) | FleetEvent::DuplicateClaimed(claim)) = &entry.event else {
             continue;
         };
-        if allowed(&claim.standing) != Some((claim.may_act, claim.serves)) {
-            let what = format!(
-                "{} is {} and may {} {:?}",
+        if permits(&claim.standing) != Some((claim.may_act, claim.serves)) {
+            let text = format!(
+                "{} is {}, but reports: acts {}; accepts, sends, is ready {:?}",
                 claim.process, claim.standing, claim.may_act, claim.serves
             );
-            breaches.push(FleetBreach { at: entry.at, text: what });
+            breaches.push(FleetBreach { at: entry.at, text });
         }
-        // Whoever acts hears a majority of those whose support counts.
+        // A process that acts has a majority of the voters in its view.
         let voters = claim.voters.iter().filter(|v| claim.members.contains(v)).count();
         if claim.may_act && voters * 2 <= claim.voters.len() {
-            let what =
+            let text =
                 format!("{} acts with {:?}, of voters {:?}", claim.process, claim.members, claim.voters);
-            breaches.push(FleetBreach { at: entry.at, text: what });
+            breaches.push(FleetBreach { at: entry.at, text });
         }
     }
 }
 
-/// Nobody's view changes twice within a settling time.
-fn steps(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    // The view of each, and when it was first told, by the process's own looks.
-    let mut stands: BTreeMap<usize, (&str, Option<u64>)> = BTreeMap::new();
+/// Checks that no view of a process is replaced within `settle_ms`.
+fn check_view_changes(params: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+    // The view of each process, and when the process first reported it, by its own clock.
+    let mut views: BTreeMap<usize, (&str, Option<u64>)> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
             FleetEvent::Claimed(claim) => {
                 let at = claim.valid_us[0];
-                match stands.get(&claim.process).copied() {
+                match views.get(&claim.process).copied() {
                     Some((view, _)) if view == claim.view => {}
-                    Some((_, Some(since))) if ((at - since) as f64) < terms.settle_ms * 1000.0 => {
-                        let what = format!("{} changes its view after {} us", claim.process, at - since);
-                        breaches.push(FleetBreach { at: entry.at, text: what });
+                    Some((_, Some(since))) if ((at - since) as f64) < params.settle_ms * 1000.0 => {
+                        let text = format!("{} changes its view after {} us", claim.process, at - since);
+                        breaches.push(FleetBreach { at: entry.at, text });
                         return;
                     }
                     known => {
-                        // When the first view was taken up is not known.
+                        // When the first view was adopted is not known.
                         let since = known.map(|_| at);
-                        stands.insert(claim.process, (&claim.view, since));
+                        views.insert(claim.process, (&claim.view, since));
                     }
                 }
             }
-            FleetEvent::Started(who) | FleetEvent::Resumed(who) => drop(stands.remove(who)),
+            FleetEvent::Started(process) | FleetEvent::Resumed(process) => drop(views.remove(process)),
             _ => {}
         }
     }
 }
 
-/// Nobody has heard of a boot that no folder held yet: it is on disk before a word of it leaves.
-fn written(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    let mut held: BTreeMap<usize, u64> = BTreeMap::new();
+/// Checks that no process has received a boot number before it was on disk: a process stores its number
+/// before it sends any packet.
+fn check_boots_stored(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+    let mut stored: BTreeMap<usize, u64> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::BootStored { process: who, boot } => {
-                let held = held.entry(*who).or_default();
-                *held = (*held).max(*boot);
+            FleetEvent::BootStored { process, boot } => {
+                let stored = stored.entry(*process).or_default();
+                *stored = (*stored).max(*boot);
             }
             FleetEvent::Claimed(claim) => {
-                let spoken = claim.boots.iter().enumerate();
-                let mut early = spoken.filter(|(who, boot)| **boot > held.get(who).copied().unwrap_or(0));
-                if let Some((who, boot)) = early.rfind(|(who, _)| *who != claim.process) {
-                    let what =
-                        format!("{} heard of boot {boot} of {who}, which is on no disk", claim.process);
-                    breaches.push(FleetBreach { at: entry.at, text: what });
+                let received = claim.boots.iter().enumerate();
+                let mut early =
+                    received.filter(|(origin, boot)| **boot > stored.get(origin).copied().unwrap_or(0));
+                if let Some((origin, boot)) = early.rfind(|(origin, _)| *origin != claim.process) {
+                    let text = format!(
+                        "{} received boot number {boot} of {origin}, which is on no disk",
+                        claim.process
+                    );
+                    breaches.push(FleetBreach { at: entry.at, text });
                     return;
                 }
             }
@@ -421,30 +453,40 @@
     }
 }
 
-/// Nobody calls a destination that told one of them to wait for long, where all hear each other well all the time.
-fn waits(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    let bad = |e: &FleetEntry| {
+/// A long wait that a destination returned, and the period in which the other processes must obey it.
+struct LongWait {
+    process: usize,
+    from: f64,
+    until: f64,
+}
+
+/// Checks that no process calls a destination during a long wait that it returned to another process, in runs
+/// where all links are intact throughout.
+fn check_waits(params: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+    let impaired = |e: &FleetEntry| {
         matches!(e.event, FleetEvent::Link { open: false, .. } | FleetEvent::LinkQuality { degraded: true })
     };
-    if ledger.iter().any(bad) {
+    if ledger.iter().any(impaired) {
         return;
     }
-    let late = terms.wait_spread_ms + terms.clock_slack_ms;
-    // By destination: who was told, and the spans in which others keep it.
-    let mut held: BTreeMap<u64, Vec<(usize, f64, f64)>> = BTreeMap::new();
+    let delay = params.wait_spread_ms + params.clock_slack_ms;
+    let mut waits: BTreeMap<u64, Vec<LongWait>> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::WaitReturned { process: who, dest, wait_ms: wait } if *wait >= terms.long_wait_ms => {
-                held.entry(*dest).or_default().push((*who, entry.at + late, entry.at + wait));
+            FleetEvent::WaitReturned { process, dest, wait_ms } if *wait_ms >= params.long_wait_ms => {
+                waits.entry(*dest).or_default().push(LongWait {
+                    process: *process,
+                    from: entry.at + delay,
+                    until: entry.at + wait_ms,
+                });
             }
             FleetEvent::Began { from, dest } => {
-                let spans = held.get(dest).map_or(&[][..], Vec::as_slice);
-                let kept = |(who, begin, end): &&(usize, f64, f64)| {
-                    who != from && (*begin..*end).contains(&entry.at)
-                };
-                if let Some((who, ..)) = spans.iter().find(kept) {
-                    let what = format!("{from} calls {dest}, which told {who} to wait");
-                    breaches.push(FleetBreach { at: entry.at, text: what });
+                let waits = waits.get(dest).map_or(&[][..], Vec::as_slice);
+                let applies =
+                    |wait: &&LongWait| wait.process != *from && (wait.from..wait.until).contains(&entry.at);
+                if let Some(LongWait { process, .. }) = waits.iter().find(applies) {
+                    let text = format!("{from} calls {dest} during a wait that it returned to {process}");
+                    breaches.push(FleetBreach { at: entry.at, text });
                     return;
                 }
             }
@@ -453,140 +495,160 @@
     }
 }
 
-/// Of two that live under one name one is silent once they know, and never both for long; when one has ended the
-/// other takes on again.
-fn twins(terms: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    // By name: since when it is so, whether the two live, and what each last said, if it was after that.
-    let mut names: BTreeMap<usize, (f64, bool, [Option<bool>; 2])> = BTreeMap::new();
+/// The state of a name that two processes have, or had.
+struct SharedName {
+    /// Since when `both_run` holds (ms).
+    since: f64,
+    /// Whether the second process runs.
+    both_run: bool,
+    /// Whether each process, in its last claim after the grace period, had the standing `doubled`.
+    doubled: [Option<bool>; 2],
+}
+
+/// Checks that of two processes under one name exactly one becomes inactive after the detection time, and
+/// that the other becomes active again when one of them has ended.
+fn check_duplicates(params: &FleetParams, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
+    let mut names: BTreeMap<usize, SharedName> = BTreeMap::new();
     for entry in ledger {
         let (claim, which) = match &entry.event {
-            FleetEvent::Duplicate { process: who, running: lives } => {
-                names.insert(*who, (entry.at, *lives, [None; 2]));
+            FleetEvent::Duplicate { process, running } => {
+                let name = SharedName { since: entry.at, both_run: *running, doubled: [None; 2] };
+                names.insert(*process, name);
                 continue;
             }
             FleetEvent::Claimed(claim) => (claim, 0),
             FleetEvent::DuplicateClaimed(claim) => (claim, 1),
             _ => continue,
         };
-        let Some((since, lives, said)) = names.get_mut(&claim.process) else { continue };
-        let within = terms.detect_ms
-            + terms.agree_ms
-            + terms.clock_slack_ms
-            + if *lives { 0.0 } else { terms.duplicate_expiry_ms };
-        if entry.at - *since < within {
+        let Some(name) = names.get_mut(&claim.process) else { continue };
+        let grace = params.detect_ms
+            + params.agree_ms
+            + params.clock_slack_ms
+            + if name.both_run { 0.0 } else { params.duplicate_expiry_ms };
+        if entry.at - name.since < grace {
             continue;
         }
-        said[which] = Some(claim.standing == "doubled");
-        let what = match (*lives, *said) {
-            (true, [Some(false), Some(false)]) => "is there twice, and both speak",
-            (true, [Some(true), Some(true)]) => "is there twice, and neither speaks",
-            (false, [Some(true), _]) => "is there once, and holds itself for doubled",
+        name.doubled[which] = Some(claim.standing == "doubled");
+        let fault = match (name.both_run, name.doubled) {
+            (true, [Some(false), Some(false)]) => "runs twice, and both processes are active",
+            (true, [Some(true), Some(true)]) => "runs twice, and neither process is active",
+            (false, [Some(true), _]) => "runs once, and still has the standing doubled",
             _ => continue,
         };
-        breaches.push(FleetBreach { at: entry.at, text: format!("{} {what}", claim.process) });
+        breaches.push(FleetBreach { at: entry.at, text: format!("{} {fault}", claim.process) });
         return;
     }
 }
 
-/// What truly was, as the rig made it.
-struct Truth {
-    lives: Vec<bool>,
-    stopped: Vec<bool>,
+/// The actual state of processes and links, as the rig set it.
+struct ActualState {
+    alive: Vec<bool>,
+    paused: Vec<bool>,
+    /// Whether each direction is open, by sender and receiver.
     open: Vec<Vec<bool>>,
-    rough: bool,
-    /// Those that can't speak: the number that they must speak under does not get to disk.
-    full: Vec<bool>,
-    /// Names that two live under, or did until lately.
-    twofold: Vec<bool>,
-    /// Since when nothing has changed.
+    degraded: bool,
+    /// Processes that cannot send: the boot number that they must send with cannot be stored.
+    disk_full: Vec<bool>,
+    /// Names under which a second process has run.
+    duplicated: Vec<bool>,
+    /// Time of the last change (ms).
     since: f64,
 }
 
-impl Truth {
-    /// Those that a process reaches and is reached by, itself counted, by whatever way.
+impl ActualState {
+    fn is_up(&self, process: usize) -> bool {
+        self.alive[process] && !self.paused[process]
+    }
+
+    /// Returns the processes that are connected to a process in both directions, directly or through others;
+    /// includes the process itself.
     fn island(&self, from: usize) -> Vec<usize> {
         let mut island = vec![from];
-        let mut at = 0;
-        while at < island.len() {
-            let one = island[at];
-            for other in 0..self.lives.len() {
-                let up = self.lives[other] && !self.stopped[other];
-                if up && !island.contains(&other) && self.open[one][other] && self.open[other][one] {
+        let mut next = 0;
+        while next < island.len() {
+            let current = island[next];
+            for other in 0..self.alive.len() {
+                let linked = self.open[current][other] && self.open[other][current];
+                if self.is_up(other) && !island.contains(&other) && linked {
                     island.push(other);
                 }
             }
-            at += 1;
+            next += 1;
         }
         island.sort_unstable();
         island
     }
 }
 
-/// The dead are known, the living are not held for dead, and those who are connected agree, once nothing has changed
-/// for long enough.
-fn connected(terms: &FleetParams, size: usize, ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
-    let mut truth = Truth {
-        lives: vec![false; size],
-        stopped: vec![false; size],
+/// Checks that, once nothing has changed for long enough, dead processes are known to be dead, connected ones
+/// are not believed dead, and connected processes hold the same view.
+fn check_detection_and_agreement(
+    params: &FleetParams,
+    size: usize,
+    ledger: &[FleetEntry],
+    breaches: &mut Vec<FleetBreach>,
+) {
+    let mut actual = ActualState {
+        alive: vec![false; size],
+        paused: vec![false; size],
         open: vec![vec![true; size]; size],
-        rough: false,
-        full: vec![false; size],
-        twofold: vec![false; size],
+        degraded: false,
+        disk_full: vec![false; size],
+        duplicated: vec![false; size],
         since: 0.0,
     };
-    // The newest view of each since the last change, to be compared.
-    let mut views: BTreeMap<usize, &Claim> = BTreeMap::new();
+    // The last claim of each process since the last change, to compare their views.
+    let mut claims: BTreeMap<usize, &Claim> = BTreeMap::new();
     for entry in ledger {
         match &entry.event {
-            FleetEvent::Claimed(claim) if truth.lives[claim.process] && !truth.stopped[claim.process] => {
-                let mut calm = entry.at - truth.since - terms.clock_slack_ms;
-                if truth.twofold.contains(&true) {
-                    calm -= terms.duplicate_expiry_ms;
+            FleetEvent::Claimed(claim) if actual.is_up(claim.process) => {
+                let mut unchanged = entry.at - actual.since - params.clock_slack_ms;
+                if actual.duplicated.contains(&true) {
+                    unchanged -= params.duplicate_expiry_ms;
                 }
-                let mut island = truth.island(claim.process);
-                let known = if island.len() * 2 > size { terms.detect_ms } else { terms.detect_minority_ms };
-                if truth.rough || calm < known {
+                let mut island = actual.island(claim.process);
+                let has_majority = island.len() * 2 > size;
+                let detect = if has_majority { params.detect_ms } else { params.detect_minority_ms };
+                if actual.degraded || unchanged < detect {
                     continue;
                 }
-                island.retain(|n| !truth.full[*n]);
-                if truth.full[claim.process] {
+                island.retain(|n| !actual.disk_full[*n]);
+                if actual.disk_full[claim.process] {
                     continue;
                 }
                 for other in (0..size).filter(|other| *other != claim.process) {
                     let state = claim.states.get(other).map_or("", String::as_str);
-                    let up = truth.lives[other] && !truth.stopped[other];
-                    let what = match () {
-                        () if !up && matches!(state, "alive" | "suspect") => "is gone",
-                        () if island.contains(&other) && !matches!(state, "alive" | "suspect") => {
-                            "is connected"
-                        }
+                    let believed_up = matches!(state, "alive" | "suspect");
+                    let fault = match () {
+                        () if !actual.is_up(other) && believed_up => "is gone",
+                        () if island.contains(&other) && !believed_up => "is connected",
                         () => continue,
                     };
-                    let what = format!("{} holds {other} for {state}, which {what}", claim.process);
-                    breaches.push(FleetBreach { at: entry.at, text: what });
+                    let text = format!("{} believes {other} to be {state}, which {fault}", claim.process);
+                    breaches.push(FleetBreach { at: entry.at, text });
                     return;
                 }
-                if calm < known + terms.agree_ms {
+                if unchanged < detect + params.agree_ms {
                     continue;
                 }
-                let gone = |n: &&usize| !truth.lives[**n] || truth.stopped[**n];
-                if let Some(gone) = claim.members.iter().find(gone) {
-                    let what = format!("{} has {gone} in its view, which is gone", claim.process);
-                    breaches.push(FleetBreach { at: entry.at, text: what });
+                if let Some(gone) = claim.members.iter().find(|member| !actual.is_up(**member)) {
+                    let text = format!("{} has {gone} in its view, which is gone", claim.process);
+                    breaches.push(FleetBreach { at: entry.at, text });
                     return;
                 }
-                // One-way cuts and bridges let everybody hear of everybody: the island is who must agree.
+                // With links cut in one direction, or links through a third process, updates reach all
+                // processes; agreement is required only of the island.
                 for other in &island {
-                    if let Some(theirs) = views.get(other).filter(|theirs| theirs.view != claim.view) {
-                        let what = format!(
+                    if let Some(theirs) = claims.get(other).filter(|theirs| theirs.view != claim.view) {
+                        let text = format!(
                             "{} holds view {} of {:?}, and {other} {} of {:?}",
                             claim.process, claim.view, claim.members, theirs.view, theirs.members
                         );
-                        breaches.push(FleetBreach { at: entry.at, text: what });
+                        breaches.push(FleetBreach { at: entry.at, text });
                         return;
                     }
                 }
-                views.insert(claim.process, claim);
+                claims.insert(claim.process, claim);
             }
             FleetEvent::Claimed(_)
             | FleetEvent::DuplicateClaimed(_)
@@ -598,19 +660,20 @@
             | FleetEvent::WaitReturned { .. }
             | FleetEvent::BootStored { .. } => {}
             event => {
-                truth.since = entry.at;
-                views.clear();
+                actual.since = entry.at;
+                claims.clear();
                 match event {
-                    FleetEvent::Started(who) => (truth.lives[*who], truth.stopped[*who]) = (true, false),
-                    FleetEvent::Exited(who) => truth.lives[*who] = false,
-                    FleetEvent::Paused(who) => truth.stopped[*who] = true,
-                    FleetEvent::Resumed(who) => truth.stopped[*who] = false,
-                    FleetEvent::Link { from, to, open } => truth.open[*from][*to] = *open,
-                    FleetEvent::LinkQuality { degraded: rough } => truth.rough = *rough,
-                    FleetEvent::Disk { process: who, full } => truth.full[*who] = *full,
-                    // While two live under a name, what all believe of it may change from word to word.
-                    FleetEvent::Duplicate { process: who, running: lives } => {
-                        (truth.rough, truth.twofold[*who]) = (*lives, true)
+                    FleetEvent::Started(n) => (actual.alive[*n], actual.paused[*n]) = (true, false),
+                    FleetEvent::Exited(n) => actual.alive[*n] = false,
+                    FleetEvent::Paused(n) => actual.paused[*n] = true,
+                    FleetEvent::Resumed(n) => actual.paused[*n] = false,
+                    FleetEvent::Link { from, to, open } => actual.open[*from][*to] = *open,
+                    FleetEvent::LinkQuality { degraded } => actual.degraded = *degraded,
+                    FleetEvent::Disk { process, full } => actual.disk_full[*process] = *full,
+                    // While two processes share a name, what the others believe of it may change with each
+                    // packet.
+                    FleetEvent::Duplicate { process, running } => {
+                        (actual.degraded, actual.duplicated[*process]) = (*running, true);
                     }
                     _ => {}
                 }
@@ -619,7 +682,7 @@
     }
 }
 
-/// The terms of tests.
+/// Parameters for tests.
 #[cfg(test)]
 pub(crate) const TERMS: FleetParams = FleetParams {
     detect_ms: 100.0,
@@ -644,27 +707,34 @@
 mod tests {
     use super::*;
 
-    fn claim(who: usize, span: [u64; 2], acts: bool, view: &str, there: &[usize], states: &[&str]) -> Claim {
-        let standing = if acts { "majority" } else { "minority" }.to_owned();
+    fn claim(
+        process: usize,
+        valid_us: [u64; 2],
+        may_act: bool,
+        view: &str,
+        members: &[usize],
+        states: &[&str],
+    ) -> Claim {
+        let standing = if may_act { "majority" } else { "minority" }.to_owned();
         let states = states.iter().map(|s| (*s).to_owned()).collect();
-        let (view, there, serves) = (view.to_owned(), there.to_vec(), [true; 3]);
+        let (view, members, serves) = (view.to_owned(), members.to_vec(), [true; 3]);
         let voters = (0..3).collect();
         Claim {
-            process: who,
-            valid_us: span,
+            process,
+            valid_us,
             standing,
-            may_act: acts,
+            may_act,
             serves,
             view,
             voters,
-            members: there,
+            members,
             states,
             senders: 1,
             boots: Vec::new(),
         }
     }
 
-    fn told(at: f64, claim: Claim) -> FleetEntry {
+    fn claimed(at: f64, claim: Claim) -> FleetEntry {
         FleetEntry { at, event: FleetEvent::Claimed(claim) }
     }
 
@@ -673,56 +743,56 @@
     }
 
     #[test]
-    fn two_views_that_act_at_one_instant_are_a_breach_and_one_after_the_other_none() {
+    fn reports_two_views_that_act_at_once_and_accepts_successive_ones() {
         let states = ["alive"; 3];
         let a = |from, to| claim(0, [from, to], true, "a", &[0, 1], &states);
         let b = |from, to| claim(2, [from, to], true, "b", &[1, 2], &states);
         let mut ledger = all_up(3);
-        ledger.extend([told(1.0, a(100, 300)), told(2.0, a(200, 400)), told(3.0, b(150, 350))]);
+        ledger.extend([claimed(1.0, a(100, 300)), claimed(2.0, a(200, 400)), claimed(3.0, b(150, 350))]);
         let found = judge_fleet(&TERMS, 3, &ledger);
         assert!(found.iter().any(|b| b.text.contains("acts under")), "{found:?}");
         let mut ledger = all_up(3);
-        ledger.extend([told(1.0, a(100, 140)), told(2.0, b(150, 350)), told(3.0, a(400, 500))]);
+        ledger.extend([claimed(1.0, a(100, 140)), claimed(2.0, b(150, 350)), claimed(3.0, a(400, 500))]);
         assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![]);
     }
 
     #[test]
-    fn the_dead_must_be_known_and_the_connected_not_held_for_dead() {
+    fn reports_unknown_deaths_and_connected_processes_believed_dead() {
         let mut ledger = all_up(3);
         ledger.push(FleetEntry { at: 10.0, event: FleetEvent::Exited(2) });
         let late = claim(0, [0, 0], false, "a", &[0, 1], &["alive", "alive", "alive"]);
-        ledger.push(told(50.0, late.clone()));
-        assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![], "not yet");
-        ledger.push(told(150.0, late));
+        ledger.push(claimed(50.0, late.clone()));
+        assert_eq!(judge_fleet(&TERMS, 3, &ledger), vec![], "within the detection time");
+        ledger.push(claimed(150.0, late));
         assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("is gone"));
 
-        // 0 and 1 hear each other by 2 alone.
+        // 0 and 1 are connected only through 2.
         let mut ledger = all_up(3);
         ledger.push(FleetEntry { at: 10.0, event: FleetEvent::Link { from: 0, to: 1, open: false } });
-        ledger.push(told(150.0, claim(0, [0, 0], false, "a", &[0, 2], &["alive", "dead", "alive"])));
+        ledger.push(claimed(150.0, claim(0, [0, 0], false, "a", &[0, 2], &["alive", "dead", "alive"])));
         assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("is connected"));
     }
 
     #[test]
-    fn the_connected_must_agree_and_the_table_holds() {
+    fn reports_disagreement_of_connected_processes_and_permits_against_the_table() {
         let mut ledger = all_up(3);
         let states = ["alive"; 3];
-        ledger.push(told(250.0, claim(0, [0, 0], false, "a", &[0, 1], &states)));
-        ledger.push(told(260.0, claim(1, [0, 0], false, "b", &[0, 1, 2], &states)));
+        ledger.push(claimed(250.0, claim(0, [0, 0], false, "a", &[0, 1], &states)));
+        ledger.push(claimed(260.0, claim(1, [0, 0], false, "b", &[0, 1, 2], &states)));
         assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("holds view"));
         let lone = claim(0, [0, 0], true, "a", &[0], &states);
-        let ledger: Vec<_> = all_up(3).into_iter().chain([told(10.0, lone)]).collect();
+        let ledger: Vec<_> = all_up(3).into_iter().chain([claimed(10.0, lone)]).collect();
         assert!(judge_fleet(&TERMS, 3, &ledger)[0].text.contains("acts with"));
         let mut odd = claim(0, [0, 0], false, "a", &[0, 1], &states);
         odd.serves = [true, false, true];
-        let ledger: Vec<_> = all_up(3).into_iter().chain([told(10.0, odd)]).collect();
+        let ledger: Vec<_> = all_up(3).into_iter().chain([claimed(10.0, odd)]).collect();
         assert_eq!(judge_fleet(&TERMS, 3, &ledger).len(), 1);
     }
 
     #[test]
-    fn a_flicker_is_a_breach_and_a_step_is_none() {
+    fn reports_flapping_views_and_accepts_single_changes() {
         let view = |at: u64, view: &str| {
-            told(at as f64, claim(0, [at * 1000, at * 1000 + 1], false, view, &[0, 1], &["alive"; 3]))
+            claimed(at as f64, claim(0, [at * 1000, at * 1000 + 1], false, view, &[0, 1], &["alive"; 3]))
         };
         let mut ledger = all_up(3);
         ledger.extend([view(1, "a"), view(2, "b"), view(60, "c"), view(120, "a")]);
@@ -732,52 +802,62 @@
     }
 
     #[test]
-    fn a_boot_is_on_disk_before_it_is_heard_of() {
+    fn reports_boot_numbers_received_before_they_are_on_disk() {
         let mut claim = claim(0, [0, 0], false, "a", &[0, 1], &["alive"; 3]);
         claim.boots = vec![9, 2, 0];
         let written = |boot| FleetEntry { at: 1.0, event: FleetEvent::BootStored { process: 1, boot } };
-        let ledger = |boot| [all_up(3), vec![written(boot), told(2.0, claim.clone())]].concat();
+        let ledger = |boot| [all_up(3), vec![written(boot), claimed(2.0, claim.clone())]].concat();
         assert_eq!(judge_fleet(&TERMS, 3, &ledger(2)), vec![]);
         assert!(judge_fleet(&TERMS, 3, &ledger(1))[0].text.contains("on no disk"));
     }
 
     #[test]
-    fn of_two_under_one_name_one_is_silent_and_not_for_ever() {
-        let said = |at, twin: bool, doubled: bool| {
+    fn requires_one_inactive_process_of_two_under_one_name_until_one_ends() {
+        let claimed = |at, duplicate: bool, doubled: bool| {
             let mut claim = claim(1, [0, 0], false, "a", &[0, 1, 2], &["alive"; 3]);
             if doubled {
                 (claim.standing, claim.serves) = ("doubled".to_owned(), [false; 3]);
             }
-            let event = if twin { FleetEvent::DuplicateClaimed(claim) } else { FleetEvent::Claimed(claim) };
+            let event =
+                if duplicate { FleetEvent::DuplicateClaimed(claim) } else { FleetEvent::Claimed(claim) };
             FleetEntry { at, event }
         };
-        let twin = |at, lives| FleetEntry { at, event: FleetEvent::Duplicate { process: 1, running: lives } };
+        let duplicate = |at, running| FleetEntry { at, event: FleetEvent::Duplicate { process: 1, running } };
         let found = |more: &[FleetEntry]| {
-            let ledger = [all_up(3), vec![twin(10.0, true)], more.to_vec()].concat();
+            let ledger = [all_up(3), vec![duplicate(10.0, true)], more.to_vec()].concat();
             judge_fleet(&TERMS, 3, &ledger).first().map(|b| b.text.clone()).unwrap_or_default()
         };
-        assert_eq!(found(&[said(100.0, false, false), said(100.0, true, false)]), "");
-        assert_eq!(found(&[said(300.0, false, true), said(300.0, true, false)]), "");
-        assert!(found(&[said(300.0, false, false), said(300.0, true, false)]).contains("both speak"));
-        assert!(found(&[said(300.0, false, true), said(300.0, true, true)]).contains("neither speaks"));
-        assert_eq!(found(&[twin(400.0, false), said(800.0, false, true)]), "");
-        assert!(found(&[twin(400.0, false), said(950.0, false, true)]).contains("holds itself for doubled"));
+        assert_eq!(found(&[claimed(100.0, false, false), claimed(100.0, true, false)]), "");
+        assert_eq!(found(&[claimed(300.0, false, true), claimed(300.0, true, false)]), "");
+        assert!(
+            found(&[claimed(300.0, false, false), claimed(300.0, true, false)])
+                .contains("both processes are active")
+        );
+        assert!(
+            found(&[claimed(300.0, false, true), claimed(300.0, true, true)])
+                .contains("neither process is active")
+        );
+        assert_eq!(found(&[duplicate(400.0, false), claimed(800.0, false, true)]), "");
+        assert!(
+            found(&[duplicate(400.0, false), claimed(950.0, false, true)])
+                .contains("still has the standing doubled")
+        );
     }
 
     #[test]
-    fn what_all_send_together_is_held_to_the_limit_over_every_span() {
+    fn holds_all_processes_together_to_the_limit_over_every_period() {
         let mut ledger = vec![FleetEntry { at: 0.0, event: FleetEvent::Limit { calls_per_sec: 10.0 } }];
         let began = |at, from| FleetEntry { at, event: FleetEvent::Began { from, dest: 7 } };
-        // Ten a second from two processes for five seconds: just what is allowed.
+        // Ten calls a second from two processes for five seconds: exactly what is allowed.
         ledger.extend((0..50).map(|n| began(f64::from(n) * 100.0, n as usize % 2)));
-        let reach = judge_limit(&TERMS, &ledger);
-        assert!(reach.excess.is_some_and(|(_, excess)| (0.9..1.1).contains(&excess)), "{reach:?}");
-        assert!((0.95..1.1).contains(&reach.used), "{reach:?}");
+        let limit_use = judge_limit(&TERMS, &ledger);
+        assert!(limit_use.excess.is_some_and(|(_, excess)| (0.9..1.1).contains(&excess)), "{limit_use:?}");
+        assert!((0.95..1.1).contains(&limit_use.used), "{limit_use:?}");
         assert_eq!(judge_fleet(&TERMS, 2, &ledger), vec![]);
-        // Ten more within 50 ms, at the end.
+        // Ten more calls within 50 ms at the end.
         ledger.extend((0..10).map(|n| began(5000.0 + f64::from(n) * 5.0, 0)));
         assert!(judge_fleet(&TERMS, 2, &ledger)[0].text.contains("beyond the limit"));
-        // A limit that falls to a tenth: what was right before is too much after.
+        // A limit lowered to a tenth: the rate that was allowed before is too high after.
         let mut ledger = ledger[..51].to_vec();
         ledger.push(FleetEntry { at: 5000.0, event: FleetEvent::Limit { calls_per_sec: 1.0 } });
         ledger.extend((0..20).map(|n| began(5000.0 + f64::from(n) * 100.0, 1)));
@@ -785,7 +865,7 @@
     }
 
     #[test]
-    fn a_long_wait_told_to_one_is_kept_by_all_who_could_hear_of_it() {
+    fn holds_other_processes_to_a_long_wait_once_it_has_spread() {
         let waits = |wait| FleetEntry {
             at: 100.0,
             event: FleetEvent::WaitReturned { process: 0, dest: 7, wait_ms: wait },
@@ -793,7 +873,7 @@
         let began = |at, from| FleetEntry { at, event: FleetEvent::Began { from, dest: 7 } };
         let found = |wait, at, from| judge_fleet(&TERMS, 2, &[waits(wait), began(at, from)]).len();
         assert_eq!([found(800.0, 140.0, 1), found(800.0, 950.0, 1), found(300.0, 200.0, 1)], [0; 3]);
-        // Who was told itself is judged by its own ledger.
+        // The process that received the wait is judged by its own ledger.
         assert_eq!([found(800.0, 200.0, 0), found(800.0, 200.0, 1)], [0, 1]);
     }
 }
--- a/crates/checker/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -1,50 +1,51 @@
-//! The terms by which a run is judged, and its breaches.
+//! The parameters by which a run is judged, the six rules, and their breaches.
 
 use crate::ledger::Entry;
 use crate::rules;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a repeat of a message does.
+/// Effect of delivering a message more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// No harm.
+    /// A repeat does no harm.
     Safe,
-    /// Destinations drop repeats for so long (ms) after the first attempt that may have run.
+    /// Destinations drop repeats for this time (ms) after the first attempt that may have run.
     Keyed(f64),
-    /// It must never take effect twice.
+    /// The message must never take effect twice.
     Unsafe,
 }
 
-/// The figures of the rules (ms), and how exact the run's clock was.
+/// Parameters of the rules, and the accuracy of the run's clock.
 #[derive(Clone, Debug)]
 pub struct RuleParams {
-    /// Classes, by name.
+    /// Effect of repeats, by class name.
     pub classes: BTreeMap<String, Effect>,
-    /// An end later than this after the message's time is up is missing.
+    /// An accepted message must have its end within this time after its deadline.
     pub notice_within_ms: f64,
-    /// Nothing is overdue for so long after the forwarder is ready again.
+    /// After a restart no end is overdue for this time from the forwarder being ready again.
     pub restart_grace_ms: f64,
-    /// Nothing new goes to an endpoint later than this after it was told to drain.
+    /// An endpoint may receive new calls for this time after it was listed as draining.
     pub drain_grace_ms: f64,
-    /// Calls that come so soon after a wait was told are let through.
+    /// Calls that arrive within this time after a wait was returned are allowed.
     pub wait_grace_ms: f64,
-    /// A returning destination falls over above this multiple of what it can do at that moment,
+    /// A returning destination is overloaded above this multiple of its capacity at that time.
     pub overload_multiple: f64,
-    /// kept up for so long.
+    /// Period over which the calls to a returning destination are counted against its capacity.
     pub overload_for_ms: f64,
-    /// What a destination can do right after an outage, as a part of all.
+    /// Share of its capacity that a destination has right after an outage.
     pub start_capacity: f64,
-    /// It can do all again after this time.
+    /// Time after an outage at which a destination has its full capacity again.
     pub warm_up_ms: f64,
-    /// An ordered key rests so long after an attempt that may still run.
+    /// No message of an order key is called for this time after an attempt that may still run.
     pub order_gap_ms: f64,
-    /// How late the run's own clocks were.
+    /// Measured lateness of the run's own clocks.
     pub clock_slack_ms: f64,
 }
 
 impl Default for RuleParams {
-    /// The figures of PROTOCOL and BRIEF, and classes `safe`, `keyed` and `unsafe`.
+    /// Returns the values that the platform's protocol and brief state, with the classes `safe`, `keyed` and
+    /// `unsafe`.
     fn default() -> Self {
         let classes =
             [("safe", Effect::Safe), ("keyed", Effect::Keyed(15_000.0)), ("unsafe", Effect::Unsafe)];
@@ -67,22 +68,22 @@
 /// One of the six rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer in time.
+    /// Every accepted message gets exactly one end in time.
     Lost,
-    /// No effect beyond the class's allowance.
+    /// No message takes effect more often than its class allows.
     Twice,
-    /// Nothing new to an endpoint that drains.
+    /// A draining endpoint gets no new calls.
     Drain,
-    /// No returning destination pushed over.
+    /// A returning destination is not overloaded.
     FailBack,
-    /// Order by key.
+    /// Messages of one order key are sent one at a time, in order.
     Order,
-    /// Waits obeyed.
+    /// A destination is not called during a wait that it asked for.
     Wait,
 }
 
 impl Rule {
-    /// All of them, in the order of the brief.
+    /// All rules, in the order of the platform's brief.
     pub const ALL: [Rule; 6] =
         [Rule::Lost, Rule::Twice, Rule::Drain, Rule::FailBack, Rule::Order, Rule::Wait];
 }
@@ -90,11 +91,11 @@
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When (ms).
+    /// Time of the breach (ms since the start of the run).
     pub at: f64,
-    /// By what.
+    /// Description of the breach.
     pub text: String,
 }
 
@@ -104,9 +105,11 @@
     }
 }
 
-/// Judges a run, all six rules. The ledger is in the order of its times.
-pub fn judge(terms: &RuleParams, ledger: &[Entry]) -> Vec<Breach> {
-    let view = rules::View::new(terms, ledger);
+/// Judges a run by all six rules and returns the breaches in the order of their times.
+///
+/// The ledger must be ordered by time.
+pub fn judge(params: &RuleParams, ledger: &[Entry]) -> Vec<Breach> {
+    let view = rules::View::new(params, ledger);
     let mut breaches = Vec::new();
     rules::lost(&view, &mut breaches);
     rules::twice(&view, &mut breaches);
--- a/crates/checker/src/ledger.rs
+++ b/crates/checker/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What stand-ins write down.
+//! The events that stand-ins record.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,141 +11,141 @@
     pub event: Event,
 }
 
-/// What happened.
+/// What a stand-in observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A client began to send a message. Its time counts from here.
+    /// A client began to send a message. Its deadline counts from here.
     Sent {
-        /// Its id, new each time that a message is handed in, but for a request sent once more.
+        /// Id of the message: new for each submission, but the same when a request is sent again.
         id: String,
-        /// Its class.
+        /// Class of the message.
         class: String,
-        /// Its destination.
+        /// Destination of the message.
         dest: u64,
-        /// How long it may be delivered (ms).
+        /// Time within which the message may be delivered (ms).
         deadline_ms: f64,
-        /// What it is about, where its class keeps an order.
+        /// Order key of the message, where its class keeps an order.
         order_key: Option<String>,
     },
-    /// What became of that request.
+    /// A client's request ended.
     #[serde(rename = "Heard")]
     ClientDone {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// The answer, or none.
+        /// The answer, or how the request ended without one.
         #[serde(rename = "answer")]
         outcome: ClientOutcome,
     },
     /// The first byte of a call reached an endpoint.
     Began {
-        /// The call, numbered over all endpoints.
+        /// Number of the call, counted over all endpoints.
         call: u64,
-        /// The endpoint.
+        /// Uid of the endpoint.
         uid: String,
-        /// Its destination.
+        /// Destination of the endpoint.
         dest: u64,
     },
     /// The last byte of a call reached an endpoint.
     Called {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The endpoint.
+        /// Uid of the endpoint.
         uid: String,
-        /// Its destination.
+        /// Destination of the endpoint.
         dest: u64,
-        /// The messages in it.
+        /// Ids of the messages in the call.
         ids: Vec<String>,
     },
-    /// The whole answer to a call was written, on a connection that was open.
+    /// The complete answer to a call was written, on a connection that was open.
     Answered {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// What it says of each message.
+        /// What the answer says of each message.
         ends: Vec<(String, CallEnd)>,
-        /// A wait that it told (ms).
+        /// The wait that the answer asks for (ms).
         wait_ms: Option<f64>,
     },
-    /// The connection of a call ended with no answer, from whichever side.
+    /// The connection of a call ended without an answer, closed by either side.
     Broke {
-        /// The call.
+        /// Number of the call.
         call: u64,
     },
-    /// Discovery wrote to the forwarder how an endpoint stands.
+    /// Discovery wrote the state of an endpoint to the forwarder.
     Listed {
-        /// The endpoint.
+        /// Uid of the endpoint.
         uid: String,
-        /// How it stands.
+        /// State of the endpoint in the list.
         standing: Standing,
     },
-    /// A notice came.
+    /// A notice arrived.
     Notice {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// It was handed back: another try does no harm.
+        /// Whether the message was handed back, which says that another attempt is harmless.
         handed_back: bool,
-        /// It was acknowledged.
+        /// Whether the notice was acknowledged.
         acknowledged: bool,
     },
-    /// A destination went down or came back, cold.
+    /// A destination went down, or came back with reduced capacity.
     Outage {
         /// The destination.
         dest: u64,
-        /// Whether it is back.
+        /// Whether the outage is over.
         back: bool,
-        /// What it can do warm (calls a second).
+        /// Capacity of the destination once warmed up (calls a second).
         capacity: f64,
     },
-    /// The forwarder's own life.
+    /// The forwarder's process became ready or began to end.
     Forwarder(ForwarderState),
 }
 
 impl Event {
-    /// A message that a client sends.
+    /// Returns the event of a client sending a message without an order key.
     pub fn sent(id: &str, class: &str, dest: u64, deadline_ms: f64) -> Self {
         Event::Sent { id: id.into(), class: class.into(), dest, deadline_ms, order_key: None }
     }
 }
 
-/// What a client heard.
+/// How a client's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClientOutcome {
-    /// An answer with this status.
+    /// The client received an answer with this status.
     Status(u16),
-    /// The connection ended with no answer.
+    /// The connection ended without an answer.
     Broken,
-    /// Nothing in its time: the client left.
+    /// The client received no answer before its time-out and left.
     Left,
 }
 
 /// What an answer says of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// It may have run.
+    /// The message may have run.
     MayHaveRun,
-    /// It never ran.
+    /// The message never ran.
     NeverRan,
-    /// It never ran, and nothing more is owed.
+    /// The message never ran, and nothing more is owed for it.
     Over,
 }
 
-/// How an endpoint stands in the list.
+/// State of an endpoint in the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// May be called.
+    /// The endpoint may be called.
     InService,
-    /// Wants nothing new.
+    /// The endpoint drains: it takes no new calls.
     Terminating,
-    /// Gone.
+    /// The endpoint is gone.
     Terminated,
 }
 
-/// The forwarder's own life.
+/// State of the forwarder's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwarderState {
-    /// It answers that it is ready.
+    /// The forwarder answers that it is ready.
     Ready,
-    /// It is told to end, or killed.
+    /// The forwarder was asked to end, was killed, or has exited.
     Ending,
 }
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,16 +1,17 @@
-//! Judges the six rules from what stand-ins saw, and from that alone: it shares no code with the engine or the
-//! decision module, so that the same mistake can't stand in both.
+//! Judges the six delivery rules, and properties of fleets, from the ledger that stand-ins write, and from
+//! nothing else: it shares no code with the engine or the decision module, so that one mistake cannot be in
+//! both.
 //!
 //! ```
 //! use yarrowhill_checker::*;
 //!
-//! let terms = RuleParams::default();
+//! let params = RuleParams::default();
 //! let ledger = vec![
 //!     Entry { at: 0.0, event: Event::sent("a", "unsafe", 7, 1000.0) },
 //!     Entry { at: 5.0, event: Event::ClientDone { id: "a".into(), outcome: ClientOutcome::Status(202) } },
 //! ];
-//! // Taken on, and nothing came of it.
-//! assert_eq!(judge(&terms, &ledger)[0].rule, Rule::Lost);
+//! // The message was accepted and never ended.
+//! assert_eq!(judge(&params, &ledger)[0].rule, Rule::Lost);
 //! ```
 
 mod accounts;
--- a/crates/checker/src/returns.rs
+++ b/crates/checker/src/returns.rs
@@ -1,139 +1,148 @@
-//! What reached a destination that was down for everybody, while it was down and when it came back cold.
+//! Judges the calls that reach a destination during an outage that affects all processes, and during its
+//! warm-up after it.
 
 use crate::fleet::{FleetBreach, FleetEntry, FleetEvent, FleetParams, judge_limit};
 use serde::{Deserialize, Serialize};
 
-/// What holds of a destination that was down (ms, but for `start`).
+/// Parameters for judging a destination that was down.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// Everybody knows of an outage after so long.
+    /// Time after which all processes know of an outage.
     #[serde(rename = "found")]
     pub detect_ms: f64,
-    /// The part of its capacity that it has at first.
+    /// Share of its capacity that the destination has right after the outage.
     #[serde(rename = "start")]
     pub start_capacity: f64,
-    /// How long it takes to get warm.
+    /// Time after the outage at which the destination has its full capacity.
     #[serde(rename = "warm")]
     pub warm_up_ms: f64,
-    /// One may try so often meanwhile.
+    /// Interval at which one process may probe the destination during the outage.
     #[serde(rename = "tries")]
     pub probe_interval_ms: f64,
-    /// How late the rig's clocks were.
+    /// Measured lateness of the rig's clocks.
     #[serde(rename = "late")]
     pub clock_slack_ms: f64,
 }
 
 impl ColdStart {
-    /// What part of its capacity it has so long after its return, added up from then on (ms of its whole capacity).
-    fn bears(&self, since: f64) -> f64 {
-        let cold = since.clamp(0.0, self.warm_up_ms);
+    /// Returns the integral of the destination's capacity share over the first `elapsed` ms after the outage
+    /// (in ms of full capacity).
+    fn capacity_integral(&self, elapsed: f64) -> f64 {
+        let cold = elapsed.clamp(0.0, self.warm_up_ms);
         self.start_capacity * cold
             + (1.0 - self.start_capacity) * cold * cold / (2.0 * self.warm_up_ms)
-            + (since - cold).max(0.0)
+            + (elapsed - cold).max(0.0)
     }
 }
 
-/// An outage, and what came of it.
+/// An outage and the calls that reached the destination during and after it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutageReport {
-    /// Which destination.
+    /// The destination.
     pub dest: u64,
-    /// When it went down, and when it was back (ms).
+    /// When the destination went down and when it was back (ms since the start of the run).
     pub window_ms: [f64; 2],
-    /// Calls that reached it while it was down, once all could know,
+    /// Calls that reached the destination while it was down, after all processes could know of it.
     pub calls_while_down: usize,
-    /// and how many may.
+    /// Number of such calls that are allowed.
     pub allowed_while_down: f64,
-    /// The most calls beyond what it bore, over any span while it got warm,
+    /// Highest number of calls beyond the capacity over any period of the warm-up.
     pub excess: f64,
-    /// and how many may come beyond it.
+    /// Number of calls beyond the capacity that are allowed.
     pub allowed_excess: f64,
-    /// How long after its return nine tenths of what the limit allows came within half a second, if they did (ms).
+    /// Time from the end of the outage until nine tenths of what the limit allows came within half a second
+    /// (ms), if that happened.
     pub full_use_ms: Option<f64>,
 }
 
-/// What reached destinations that were down, where all were asked for a limit.
-pub fn judge_outages(terms: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<OutageReport> {
-    let limit = judge_limit(terms, ledger).max_limit;
-    let mut found = Vec::new();
+/// Measures the calls around each outage of a ledger, where the load offered to all destinations reaches
+/// their limit.
+pub fn judge_outages(params: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<OutageReport> {
+    let limit = judge_limit(params, ledger).max_limit;
+    let mut reports = Vec::new();
     for (n, entry) in ledger.iter().enumerate() {
         let FleetEvent::Outage { dest, back: false } = entry.event else { continue };
-        let back = ledger[n..].iter().find(|e| e.event == FleetEvent::Outage { dest, back: true });
-        let Some(back) = back.map(|e| e.at) else { continue };
+        let end = ledger[n..].iter().find(|e| e.event == FleetEvent::Outage { dest, back: true });
+        let Some(back) = end.map(|e| e.at) else { continue };
         let calls: Vec<f64> = ledger[n..]
             .iter()
             .filter(|e| matches!(e.event, FleetEvent::Began { dest: to, .. } if to == dest))
             .map(|e| e.at)
             .collect();
-        let known = entry.at + terms.recovery.detect_ms;
-        let tried = calls.iter().filter(|at| (known..back).contains(*at)).count();
-        // One a turn; half as many by others, that try for themselves now and then, or begin before they have heard.
-        let may = size as f64 + (back - known).max(0.0) / terms.recovery.probe_interval_ms * 1.5;
+        let known = entry.at + params.recovery.detect_ms;
+        let calls_while_down = calls.iter().filter(|at| (known..back).contains(*at)).count();
+        // One process probes in each interval. Half as many more are allowed for the others, which probe for
+        // themselves now and then or begin a call before the report reaches them.
+        let allowed_while_down =
+            size as f64 + (back - known).max(0.0) / params.recovery.probe_interval_ms * 1.5;
         let cold: Vec<f64> = calls
             .iter()
             .copied()
-            .filter(|at| (back..back + terms.recovery.warm_up_ms).contains(at))
+            .filter(|at| (back..back + params.recovery.warm_up_ms).contains(at))
             .collect();
-        let (mut least, mut excess) = (f64::INFINITY, 0.0f64);
+        let (mut lowest, mut excess) = (f64::INFINITY, 0.0f64);
         for (n, at) in cold.iter().enumerate() {
-            let borne = terms.recovery.bears(at - back) / 1000.0 * limit;
-            least = least.min(n as f64 - borne);
-            excess = excess.max((n + 1) as f64 - borne - least);
+            let capacity = params.recovery.capacity_integral(at - back) / 1000.0 * limit;
+            lowest = lowest.min(n as f64 - capacity);
+            excess = excess.max((n + 1) as f64 - capacity - lowest);
         }
-        // A call that each has saved up, a tenth of a second of the limit, and two that try: who hears later begins later.
-        let beyond = size as f64 + limit * (0.1 + terms.recovery.clock_slack_ms / 1000.0) + 3.0;
-        let full = calls.iter().filter(|at| **at >= back).find(|from| {
+        // One call that each process has accumulated, a tenth of a second of the limit, two probes, and one
+        // call for processes that learn of the return late and so start their ramp late.
+        let allowed_excess = size as f64 + limit * (0.1 + params.recovery.clock_slack_ms / 1000.0) + 3.0;
+        let full_use = calls.iter().filter(|at| **at >= back).find(|from| {
             let within = calls.iter().filter(|at| (**from..**from + 500.0).contains(*at)).count();
             within as f64 >= 0.9 * limit / 2.0
         });
-        let full = full.map(|at| at - back);
-        found.push(OutageReport {
+        reports.push(OutageReport {
             dest,
             window_ms: [entry.at, back],
-            calls_while_down: tried,
-            allowed_while_down: may,
+            calls_while_down,
+            allowed_while_down,
             excess,
-            allowed_excess: beyond,
-            full_use_ms: full,
+            allowed_excess,
+            full_use_ms: full_use.map(|at| at - back),
         });
     }
-    found
+    reports
 }
 
-/// Where all hear each other well, one calls a destination that is down, and all come back no faster than it gets warm.
-pub(crate) fn returns(
-    terms: &FleetParams,
+/// Where all processes are well connected, one of them probes a destination that is down, and after the
+/// outage all together send no more than its ramp allows.
+pub(crate) fn check_outages(
+    params: &FleetParams,
     size: usize,
     ledger: &[FleetEntry],
     breaches: &mut Vec<FleetBreach>,
 ) {
-    let bad = |e: &FleetEntry| {
+    let impaired = |e: &FleetEntry| {
         matches!(e.event, FleetEvent::Link { open: false, .. } | FleetEvent::LinkQuality { degraded: true })
     };
-    let cut = ledger.iter().any(bad);
+    let partitioned = ledger.iter().any(impaired);
     for OutageReport {
         dest,
-        window_ms: span,
-        calls_while_down: tried,
-        allowed_while_down: may,
+        window_ms: [_, back],
+        calls_while_down,
+        allowed_while_down,
         excess,
-        allowed_excess: beyond,
+        allowed_excess,
         ..
-    } in judge_outages(terms, size, ledger)
+    } in judge_outages(params, size, ledger)
     {
-        // On either side of a cut one tries, and each side comes back along a ramp of its own.
-        let sides = if cut { 2.0 } else { 1.0 };
-        if tried as f64 > may * sides {
-            let what =
-                format!("{tried} calls reached {dest} while it was down, {:.1} are allowed", may * sides);
-            breaches.push(FleetBreach { at: span[1], text: what });
+        // On each side of a cut one process probes, and each side follows a ramp of its own.
+        let sides = if partitioned { 2.0 } else { 1.0 };
+        let allowed = allowed_while_down * sides;
+        if calls_while_down as f64 > allowed {
+            let text = format!(
+                "{calls_while_down} calls reached {dest} while it was down, {allowed:.1} are allowed"
+            );
+            breaches.push(FleetBreach { at: back, text });
         }
-        if excess > beyond * sides {
-            let what = format!(
-                "{excess:.1} calls beyond what {dest} bears when it is back, {:.1} are allowed",
-                beyond * sides
+        let allowed = allowed_excess * sides;
+        if excess > allowed {
+            let text = format!(
+                "{excess:.1} calls beyond the capacity of {dest} when it is back, {allowed:.1} are allowed"
             );
-            breaches.push(FleetBreach { at: span[1], text: what });
+            breaches.push(FleetBreach { at: back, text });
         }
     }
 }
@@ -158,11 +167,11 @@
     }
 
     #[test]
-    fn calls_in_an_outage_and_beyond_the_ramp_are_breaches() {
+    fn reports_calls_during_an_outage_and_beyond_the_ramp() {
         let found = |calls: &[f64]| {
             judge_fleet(&TERMS, 2, &ledger(calls)).into_iter().map(|b| b.text).collect::<Vec<_>>()
         };
-        // Before all can know of it, and then one a turn.
+        // All calls before the processes can know of the outage, and then one in each probe interval.
         let few: Vec<f64> = (0..20)
             .map(|n| 1000.0 + 200.0 * f64::from(n))
             .filter(|at| *at < 2000.0 || at % 400.0 == 0.0)
@@ -170,10 +179,11 @@
         assert_eq!(found(&few), Vec::<String>::new());
         let many: Vec<f64> = (0..60).map(|n| 2000.0 + 50.0 * f64::from(n)).collect();
         assert!(found(&many)[0].contains("while it was down"));
-        // A hundred a second at once, where a fifth of that is borne at first: 100 x (2 - 1.2) beyond it in two seconds.
+        // A hundred calls a second at once, where the capacity starts at a fifth of that: 100 x (2 - 1.2)
+        // beyond the capacity within two seconds.
         let all: Vec<f64> = (0..200).map(|n| 5000.0 + 10.0 * f64::from(n)).collect();
         assert!(found(&all)[0].contains("when it is back"), "{:?}", found(&all));
-        // Along the ramp: just what is borne.
+        // Calls along the ramp: exactly the capacity.
         let mut at = 5000.0;
         let mut ramp = Vec::new();
         while at < 7000.0 {
@@ -181,7 +191,7 @@
             at += 10.0 / (0.2 + 0.8 * (at - 5000.0) / 2000.0);
         }
         assert_eq!(found(&ramp), Vec::<String>::new());
-        let returned = judge_outages(&TERMS, 2, &ledger(&ramp));
-        assert!(returned[0].excess < 3.0, "{returned:?}");
+        let reports = judge_outages(&TERMS, 2, &ledger(&ramp));
+        assert!(reports[0].excess < 3.0, "{reports:?}");
     }
 }
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -271,8 +271,8 @@
             Event::Outage { dest, back: true, capacity } => {
                 let Some((since, _)) = down.remove(dest) else { continue };
                 let calls = calls.get(dest).map(Vec::as_slice).unwrap_or_default();
-                // A forwarder that called nobody there during the outage has seen nothing of it; nor has one that
-                // started since.
+                // A forwarder that called nobody there during the outage has seen nothing of it; nor has one
+                // that started since.
                 let seen = calls.iter().any(|call| (since..*at).contains(call));
                 let fresh =
                     view.restarts.iter().any(|(from, _)| (since..at + terms.warm_up_ms).contains(from));
