--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -4,7 +4,7 @@
 //! time.
 
 use crate::duties::DutyClaim;
-use crate::returns::ColdStart;
+use crate::outages::ColdStart;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -224,7 +224,7 @@
     check_boots_stored(ledger, &mut breaches);
     check_duplicates(params, ledger, &mut breaches);
     check_waits(params, ledger, &mut breaches);
-    crate::returns::check_outages(params, size, ledger, &mut breaches);
+    crate::outages::check_outages(params, size, ledger, &mut breaches);
     let (duties, last) = params.duties;
     crate::duties::check_duties(ledger, duties, last, &mut breaches);
     let limit_use = judge_limit(params, ledger);
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -19,7 +19,7 @@
 mod fleet;
 mod judge;
 mod ledger;
-mod returns;
+mod outages;
 mod rules;
 
 pub use accounts::{Account, accounts};
@@ -29,4 +29,4 @@
 };
 pub use judge::{Breach, Effect, Rule, RuleParams, judge};
 pub use ledger::{CallEnd, ClientOutcome, Entry, Event, ForwarderState, Standing};
-pub use returns::{ColdStart, OutageReport, judge_outages};
+pub use outages::{ColdStart, OutageReport, judge_outages};
