--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -195,7 +195,7 @@
     pub duties: (usize, f64),
     /// Parameters for judging destinations that were down.
     pub recovery: ColdStart,
-    /// Measured lateness of the rig's own clocks.
+    /// Allowance for the lateness of the rig's own clocks.
     pub clock_slack_ms: f64,
 }
 
--- a/crates/checker/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -39,7 +39,7 @@
     pub warm_up_ms: f64,
     /// No message of an order key is called for this time after an attempt that may still run.
     pub order_gap_ms: f64,
-    /// Measured lateness of the run's own clocks.
+    /// Allowance for the lateness of the run's own clocks.
     pub clock_slack_ms: f64,
 }
 
@@ -109,14 +109,14 @@
 ///
 /// The ledger must be ordered by time.
 pub fn judge(params: &RuleParams, ledger: &[Entry]) -> Vec<Breach> {
-    let view = rules::View::new(params, ledger);
+    let index = rules::LedgerIndex::new(params, ledger);
     let mut breaches = Vec::new();
-    rules::lost(&view, &mut breaches);
-    rules::twice(&view, &mut breaches);
-    rules::drain(&view, &mut breaches);
-    rules::fail_back(&view, &mut breaches);
-    rules::order(&view, &mut breaches);
-    rules::wait(&view, &mut breaches);
+    rules::lost(&index, &mut breaches);
+    rules::twice(&index, &mut breaches);
+    rules::drain(&index, &mut breaches);
+    rules::fail_back(&index, &mut breaches);
+    rules::order(&index, &mut breaches);
+    rules::wait(&index, &mut breaches);
     breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
     breaches
 }
--- a/crates/checker/src/outages.rs
+++ b/crates/checker/src/outages.rs
@@ -19,7 +19,7 @@
     /// Interval at which one process may probe the destination during the outage.
     #[serde(rename = "tries")]
     pub probe_interval_ms: f64,
-    /// Measured lateness of the rig's clocks.
+    /// Allowance for the lateness of the rig's clocks.
     #[serde(rename = "late")]
     pub clock_slack_ms: f64,
 }
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -1,95 +1,111 @@
-//! The rules, each read from the ledger on its own.
+//! The six rules, each checked on its own against the ledger.
 
 use crate::judge::{Breach, Effect, Rule, RuleParams};
 use crate::ledger::{CallEnd, ClientOutcome, Entry, Event, ForwarderState, Standing};
 use std::collections::BTreeMap;
 
-/// One message, by its id.
+/// A notice on a message.
+#[derive(Debug)]
+struct Notice {
+    at: f64,
+    handed_back: bool,
+    acknowledged: bool,
+}
+
+/// What the ledger holds on one message.
 #[derive(Debug)]
 struct Message<'a> {
-    class: Effect,
+    effect: Effect,
     order_key: Option<&'a str>,
     sent: f64,
-    /// Its time is up then.
-    up: f64,
-    heard: Vec<(f64, ClientOutcome)>,
+    /// Time of the deadline (ms since the start of the run).
+    deadline: f64,
+    outcomes: Vec<(f64, ClientOutcome)>,
+    /// Numbers of the calls that contained the message.
     calls: Vec<u64>,
-    /// Time, handed back, acknowledged.
-    notices: Vec<(f64, bool, bool)>,
+    notices: Vec<Notice>,
 }
 
 impl Message<'_> {
-    /// When it was taken on.
-    fn taken_on(&self) -> Option<f64> {
-        let taken = |heard: &&(f64, ClientOutcome)| matches!(heard.1, ClientOutcome::Status(200 | 202));
-        self.heard.iter().find(taken).map(|(at, _)| *at)
+    /// Returns when the message was accepted.
+    fn accepted_at(&self) -> Option<f64> {
+        let accepts = |outcome: &&(f64, ClientOutcome)| matches!(outcome.1, ClientOutcome::Status(200 | 202));
+        self.outcomes.iter().find(accepts).map(|(at, _)| *at)
     }
 }
 
 /// What an answer says of each message in a call.
 type Ends = [(String, CallEnd)];
 
-/// One call.
+/// What the ledger holds on one call.
 #[derive(Debug)]
 struct Call<'a> {
+    /// When the endpoint had read the call.
     called: f64,
     ids: &'a [String],
-    /// When and how it ended: by an answer, or with none.
+    /// When the call ended, and its answer if there was one.
     end: Option<(f64, Option<&'a Ends>)>,
 }
 
 impl Call<'_> {
-    /// What its end says of a message; nothing if it has not ended by then.
-    fn says(&self, id: &str, by: f64) -> Option<CallEnd> {
+    /// Returns what the end of the call says of a message, or `None` if the call had not ended at time `by`.
+    fn end_of(&self, id: &str, by: f64) -> Option<CallEnd> {
         let (_, answer) = self.end.filter(|(at, _)| *at <= by)?;
-        // Without an answer, or unnamed by it, it may have run.
+        // Without an answer, or with one that does not name it, the message may have run.
         let named = answer.and_then(|ends| ends.iter().find(|(name, _)| name == id));
         Some(named.map_or(CallEnd::MayHaveRun, |(_, end)| *end))
     }
 
-    /// Whether it may have run by then, as far as anybody can know.
+    /// Returns whether a message may have run, as far as could be known at time `by`.
     fn may_have_run(&self, id: &str, by: f64) -> bool {
-        !matches!(self.says(id, by), Some(CallEnd::NeverRan | CallEnd::Over))
+        !matches!(self.end_of(id, by), Some(CallEnd::NeverRan | CallEnd::Over))
     }
 }
 
-/// The ledger, by message and by call.
-pub(crate) struct View<'a> {
-    terms: &'a RuleParams,
+/// A restart of the forwarder.
+struct Restart {
+    /// When the forwarder began to end.
+    from: f64,
+    /// When the forwarder was ready again; infinite if it was not.
+    ready: f64,
+}
+
+/// The ledger, indexed by message and by call.
+pub(crate) struct LedgerIndex<'a> {
+    params: &'a RuleParams,
     ledger: &'a [Entry],
     messages: BTreeMap<&'a str, Message<'a>>,
     calls: BTreeMap<u64, Call<'a>>,
-    /// Restarts: from when, and until it was ready again.
-    restarts: Vec<(f64, f64)>,
+    restarts: Vec<Restart>,
 }
 
-impl<'a> View<'a> {
-    pub(crate) fn new(terms: &'a RuleParams, ledger: &'a [Entry]) -> Self {
-        let mut view =
-            View { terms, ledger, messages: BTreeMap::new(), calls: BTreeMap::new(), restarts: Vec::new() };
+impl<'a> LedgerIndex<'a> {
+    pub(crate) fn new(params: &'a RuleParams, ledger: &'a [Entry]) -> Self {
+        let (messages, calls, restarts) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let mut index = LedgerIndex { params, ledger, messages, calls, restarts };
         for Entry { at, event } in ledger {
-            view.take(*at, event);
+            index.add(*at, event);
         }
-        view
+        index
     }
 
-    fn take(&mut self, at: f64, event: &'a Event) {
+    fn add(&mut self, at: f64, event: &'a Event) {
         match event {
             Event::Sent { id, class, deadline_ms, order_key, .. } => {
-                let class = self.terms.classes.get(class).copied().unwrap_or(Effect::Unsafe);
-                // A request sent once more is the same message.
+                let effect = self.params.classes.get(class).copied().unwrap_or(Effect::Unsafe);
+                // A request that is sent again is the same message.
                 self.messages.entry(id).or_insert_with(|| Message {
-                    class,
+                    effect,
                     order_key: order_key.as_deref(),
                     sent: at,
-                    up: at + deadline_ms,
-                    heard: Vec::new(),
+                    deadline: at + deadline_ms,
+                    outcomes: Vec::new(),
                     calls: Vec::new(),
                     notices: Vec::new(),
                 });
             }
-            Event::ClientDone { id, outcome: answer } => {
-                self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.heard.push((at, *answer)));
+            Event::ClientDone { id, outcome } => {
+                self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.outcomes.push((at, *outcome)));
             }
             Event::Called { call, ids, .. } => {
                 self.calls.insert(*call, Call { called: at, ids, end: None });
@@ -97,25 +113,27 @@
                     self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.calls.push(*call));
                 }
             }
-            Event::Answered { call, ends, .. } => self.end(*call, at, Some(ends)),
-            Event::Broke { call } => self.end(*call, at, None),
+            Event::Answered { call, ends, .. } => self.end_call(*call, at, Some(ends)),
+            Event::Broke { call } => self.end_call(*call, at, None),
             Event::Notice { id, handed_back, acknowledged } => {
-                let notice = (at, *handed_back, *acknowledged);
-                self.messages.get_mut(id.as_str()).into_iter().for_each(|m| m.notices.push(notice));
+                if let Some(message) = self.messages.get_mut(id.as_str()) {
+                    let (handed_back, acknowledged) = (*handed_back, *acknowledged);
+                    message.notices.push(Notice { at, handed_back, acknowledged });
+                }
             }
             Event::Forwarder(ForwarderState::Ending) => {
-                if self.restarts.last().is_none_or(|(_, ready)| *ready < f64::INFINITY) {
-                    self.restarts.push((at, f64::INFINITY));
+                if self.restarts.last().is_none_or(|restart| restart.ready < f64::INFINITY) {
+                    self.restarts.push(Restart { from: at, ready: f64::INFINITY });
                 }
             }
             Event::Forwarder(ForwarderState::Ready) => {
-                self.restarts.last_mut().into_iter().for_each(|r| r.1 = r.1.min(at));
+                self.restarts.last_mut().into_iter().for_each(|r| r.ready = r.ready.min(at));
             }
             Event::Began { .. } | Event::Listed { .. } | Event::Outage { .. } => {}
         }
     }
 
-    fn end(&mut self, call: u64, at: f64, answer: Option<&'a Ends>) {
+    fn end_call(&mut self, call: u64, at: f64, answer: Option<&'a Ends>) {
         if let Some(call) = self.calls.get_mut(&call)
             && call.end.is_none()
         {
@@ -123,129 +141,134 @@
         }
     }
 
-    /// The platform ends a call when the time of the first message in it is up.
-    fn call_up(&self, call: &Call) -> f64 {
-        let ups = call.ids.iter().filter_map(|id| self.messages.get(id.as_str())).map(|m| m.up);
-        ups.fold(f64::INFINITY, f64::min)
+    /// Returns when the platform ends a call: at the earliest deadline of its messages.
+    fn call_deadline(&self, call: &Call) -> f64 {
+        let messages = call.ids.iter().filter_map(|id| self.messages.get(id.as_str()));
+        messages.map(|m| m.deadline).fold(f64::INFINITY, f64::min)
     }
 
-    /// When nothing more was owed for a message.
-    fn ended(&self, id: &str, m: &Message) -> Option<f64> {
+    /// Returns from when on nothing more was owed for a message.
+    fn ended_at(&self, id: &str, m: &Message) -> Option<f64> {
         let by_call = m.calls.iter().filter_map(|n| {
             let call = &self.calls[n];
             let (at, _) = call.end?;
-            match call.says(id, at)? {
-                CallEnd::Delivered if at <= self.call_up(call) => Some(at),
+            match call.end_of(id, at)? {
+                CallEnd::Delivered if at <= self.call_deadline(call) => Some(at),
                 CallEnd::Over => Some(at),
                 _ => None,
             }
         });
-        let by_notice = m.notices.iter().filter(|n| n.2).map(|n| n.0);
+        let by_notice = m.notices.iter().filter(|n| n.acknowledged).map(|n| n.at);
         by_call.chain(by_notice).min_by(f64::total_cmp)
     }
 }
 
-/// Whoever is taken on gets its end in time.
-pub(crate) fn lost(view: &View, breaches: &mut Vec<Breach>) {
-    let terms = view.terms;
-    for (id, m) in &view.messages {
-        // A connection that ends with nothing said and nothing sent on has failed its client, no more.
-        // That the forwarder died is seen a little later than by its clients.
+/// Checks that every accepted message gets its end in time.
+pub(crate) fn lost(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
+    let params = index.params;
+    for (id, m) in &index.messages {
+        // A connection that ends without an answer is a failure that the client sees, and no more, if the
+        // message was not called. Clients may see the forwarder's death a little earlier than the ledger
+        // does.
         let restarting = |at: f64| {
-            view.restarts.iter().any(|(from, to)| (*from - terms.clock_slack_ms..=*to).contains(&at))
+            let during = |r: &Restart| (r.from - params.clock_slack_ms..=r.ready).contains(&at);
+            index.restarts.iter().any(during)
         };
         let broken = m
-            .heard
+            .outcomes
             .iter()
-            .find(|(_, heard)| *heard == ClientOutcome::Broken)
-            .filter(|(at, _)| m.taken_on().is_none() && !m.calls.is_empty() && !restarting(*at));
+            .find(|(_, outcome)| *outcome == ClientOutcome::Broken)
+            .filter(|(at, _)| m.accepted_at().is_none() && !m.calls.is_empty() && !restarting(*at));
         if let Some((at, _)) = broken {
-            let text = format!("{id}: its client's connection ended with no answer, and it was called");
+            let text =
+                format!("{id}: the client's connection ended without an answer after the message was called");
             breaches.push(Breach { rule: Rule::Lost, at: *at, text });
         }
-        if m.taken_on().is_none() {
+        if m.accepted_at().is_none() {
             continue;
         }
-        let mut due = m.up + terms.notice_within_ms;
-        for (from, ready) in &view.restarts {
-            if *from <= due {
-                due = due.max(ready + terms.restart_grace_ms);
+        let mut due = m.deadline + params.notice_within_ms;
+        for restart in &index.restarts {
+            if restart.from <= due {
+                due = due.max(restart.ready + params.restart_grace_ms);
             }
         }
-        match view.ended(id, m) {
-            Some(at) if at <= due + terms.clock_slack_ms => {}
+        match index.ended_at(id, m) {
+            Some(at) if at <= due + params.clock_slack_ms => {}
             Some(at) => breaches.push(Breach {
                 rule: Rule::Lost,
                 at: due,
                 text: format!("{id}: its end came {:.0} ms late", at - due),
             }),
             None => {
-                let text = format!("{id}: taken on, and no end of it ({} calls)", m.calls.len());
+                let text = format!("{id}: accepted, but never ended ({} calls)", m.calls.len());
                 breaches.push(Breach { rule: Rule::Lost, at: due, text });
             }
         }
     }
 }
 
-/// No attempt, and no word that another try does no harm, beyond what the class allows.
-pub(crate) fn twice(view: &View, breaches: &mut Vec<Breach>) {
-    let slack = view.terms.clock_slack_ms;
-    for (id, m) in &view.messages {
+/// Checks that no message is called, refused or handed back where its class does not allow it after an
+/// attempt that may have run, and that none is called after its final notice.
+pub(crate) fn twice(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
+    let slack = index.params.clock_slack_ms;
+    for (id, m) in &index.messages {
         let mut breach = |at, text: String| {
             breaches.push(Breach { rule: Rule::Twice, at, text: format!("{id}: {text}") });
         };
         for (n, later) in m.calls.iter().enumerate() {
-            let later = &view.calls[later];
-            let earlier = m.calls[..n].iter().map(|call| &view.calls[call]);
-            // One that has been answered just now may cross the next one's start.
-            let risk = earlier.filter(|call| call.may_have_run(id, later.called)).map(|call| call.called);
-            let Some(first) = risk.min_by(f64::total_cmp) else { continue };
-            match m.class {
+            let later = &index.calls[later];
+            let earlier = m.calls[..n].iter().map(|call| &index.calls[call]);
+            // An answer that has just been written may cross the start of the next call.
+            let unresolved =
+                earlier.filter(|call| call.may_have_run(id, later.called)).map(|call| call.called);
+            let Some(first) = unresolved.min_by(f64::total_cmp) else { continue };
+            match m.effect {
                 Effect::Safe => {}
                 Effect::Unsafe => breach(later.called, "called again although it may have run".into()),
-                Effect::Keyed(life) if later.called > first + life + slack => breach(
+                Effect::Keyed(key_ttl) if later.called > first + key_ttl + slack => breach(
                     later.called,
                     format!("called again {:.0} ms after it may have run", later.called - first),
                 ),
                 Effect::Keyed(_) => {}
             }
         }
-        let ran = |by: f64| {
-            let calls = m.calls.iter().map(|call| &view.calls[call]);
+        let may_have_run = |by: f64| {
+            let calls = m.calls.iter().map(|call| &index.calls[call]);
             calls.filter(|call| call.called <= by).any(|call| call.may_have_run(id, by))
         };
-        if m.class == Effect::Unsafe {
-            for (at, heard) in &m.heard {
-                if matches!(heard, ClientOutcome::Status(429 | 503)) && ran(*at) {
+        if m.effect == Effect::Unsafe {
+            for (at, outcome) in &m.outcomes {
+                if matches!(outcome, ClientOutcome::Status(429 | 503)) && may_have_run(*at) {
                     breach(*at, "refused although it may have run".into());
                 }
             }
-            for (at, ..) in m.notices.iter().filter(|n| n.1 && ran(n.0)) {
-                breach(*at, "handed back although it may have run".into());
+            for notice in m.notices.iter().filter(|n| n.handed_back && may_have_run(n.at)) {
+                breach(notice.at, "handed back although it may have run".into());
             }
         }
-        let told = m.notices.iter().filter(|n| n.2).map(|n| n.0).min_by(f64::total_cmp);
-        if let Some(told) = told {
-            for call in m.calls.iter().map(|call| &view.calls[call]) {
-                if call.called > told + slack {
-                    breach(call.called, "called after its end was told".into());
+        let final_notice = m.notices.iter().filter(|n| n.acknowledged).map(|n| n.at).min_by(f64::total_cmp);
+        if let Some(notice) = final_notice {
+            for call in m.calls.iter().map(|call| &index.calls[call]) {
+                if call.called > notice + slack {
+                    breach(call.called, "called after its notice was acknowledged".into());
                 }
             }
         }
     }
 }
 
-/// Nothing new to an endpoint that drains or is gone.
-pub(crate) fn drain(view: &View, breaches: &mut Vec<Breach>) {
-    let mut told: BTreeMap<&str, f64> = BTreeMap::new();
-    let late = view.terms.drain_grace_ms + view.terms.clock_slack_ms;
-    for Entry { at, event } in view.ledger {
+/// Checks that no call begins at an endpoint that drains or is gone.
+pub(crate) fn drain(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
+    let mut draining: BTreeMap<&str, f64> = BTreeMap::new();
+    let grace = index.params.drain_grace_ms + index.params.clock_slack_ms;
+    for Entry { at, event } in index.ledger {
         match event {
-            Event::Listed { uid, standing: Standing::InService } => drop(told.remove(uid.as_str())),
-            Event::Listed { uid, .. } => drop(told.entry(uid).or_insert(*at)),
+            Event::Listed { uid, standing: Standing::InService } => drop(draining.remove(uid.as_str())),
+            Event::Listed { uid, .. } => drop(draining.entry(uid).or_insert(*at)),
             Event::Began { uid, .. } => {
-                if let Some(since) = told.get(uid.as_str()).filter(|since| *at > **since + late) {
-                    let text = format!("{uid}: called {:.0} ms after it was told to end", at - since);
+                if let Some(since) = draining.get(uid.as_str()).filter(|since| *at > **since + grace) {
+                    let text = format!("{uid}: called {:.0} ms after it was listed as draining", at - since);
                     breaches.push(Breach { rule: Rule::Drain, at: *at, text });
                 }
             }
@@ -254,48 +277,50 @@
     }
 }
 
-/// What reaches a returning destination within any span stays under what it can bear.
-pub(crate) fn fail_back(view: &View, breaches: &mut Vec<Breach>) {
-    let terms = view.terms;
+/// Checks that the calls that reach a returning destination in any period of `overload_for_ms` stay under
+/// what overloads it.
+pub(crate) fn fail_back(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
+    let params = index.params;
     let mut calls: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
-    for Entry { at, event } in view.ledger {
+    for Entry { at, event } in index.ledger {
         if let Event::Called { dest, .. } = event {
             calls.entry(*dest).or_default().push(*at);
         }
     }
-    // Whether the forwarder has seen the present outage of each destination.
-    let mut down: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
-    for Entry { at, event } in view.ledger {
+    // The start of the present outage of each destination.
+    let mut down: BTreeMap<u64, f64> = BTreeMap::new();
+    for Entry { at, event } in index.ledger {
         match event {
-            Event::Outage { dest, back: false, .. } => drop(down.insert(*dest, (*at, false))),
+            Event::Outage { dest, back: false, .. } => drop(down.insert(*dest, *at)),
             Event::Outage { dest, back: true, capacity } => {
-                let Some((since, _)) = down.remove(dest) else { continue };
+                let Some(since) = down.remove(dest) else { continue };
                 let calls = calls.get(dest).map(Vec::as_slice).unwrap_or_default();
-                // A forwarder that called nobody there during the outage has seen nothing of it; nor has one
-                // that started since.
-                let seen = calls.iter().any(|call| (since..*at).contains(call));
-                let fresh =
-                    view.restarts.iter().any(|(from, _)| (since..at + terms.warm_up_ms).contains(from));
-                if !seen || fresh {
+                // A forwarder that made no call during the outage cannot know of it; nor can one that has
+                // started since.
+                let observed = calls.iter().any(|call| (since..*at).contains(call));
+                let restarted =
+                    index.restarts.iter().any(|r| (since..at + params.warm_up_ms).contains(&r.from));
+                if !observed || restarted {
                     continue;
                 }
-                let bears = |from: f64, to: f64| {
-                    // Calls: what it can do, over a span, with the middle for the whole of it.
-                    let middle = ((from + to) / 2.0 - at).clamp(0.0, terms.warm_up_ms) / terms.warm_up_ms;
-                    let part = terms.start_capacity + (1.0 - terms.start_capacity) * middle;
-                    terms.overload_multiple * part * capacity * (to - from) / 1000.0
+                // The number of calls that overload the destination in a period, by its capacity in the
+                // middle of the period.
+                let max_calls = |from: f64, to: f64| {
+                    let warm = ((from + to) / 2.0 - at).clamp(0.0, params.warm_up_ms) / params.warm_up_ms;
+                    let share = params.start_capacity + (1.0 - params.start_capacity) * warm;
+                    params.overload_multiple * share * capacity * (to - from) / 1000.0
                 };
-                let cold: Vec<f64> =
-                    calls.iter().copied().filter(|c| (*at..at + terms.warm_up_ms).contains(c)).collect();
-                for (n, first) in cold.iter().enumerate() {
-                    let end = first + terms.overload_for_ms;
-                    let came = cold[n..].iter().take_while(|c| **c < end).count() as f64;
-                    let bears = bears(*first, end);
-                    // Chance: a few calls more than a small number.
-                    if came > bears + 2.0 + 2.0 * bears.sqrt() {
+                let warm_up: Vec<f64> =
+                    calls.iter().copied().filter(|c| (*at..at + params.warm_up_ms).contains(c)).collect();
+                for (n, first) in warm_up.iter().enumerate() {
+                    let end = first + params.overload_for_ms;
+                    let count = warm_up[n..].iter().take_while(|c| **c < end).count() as f64;
+                    let max = max_calls(*first, end);
+                    // Random variation: small numbers may be exceeded by a few calls.
+                    if count > max + 2.0 + 2.0 * max.sqrt() {
                         let text = format!(
-                            "{dest}: {came} calls in {:.0} ms, it bears {bears:.1}",
-                            terms.overload_for_ms
+                            "{dest}: {count} calls in {:.0} ms of its warm-up, {max:.1} are allowed",
+                            params.overload_for_ms
                         );
                         breaches.push(Breach { rule: Rule::FailBack, at: *first, text });
                         break;
@@ -307,29 +332,29 @@
     }
 }
 
-/// Messages of one key go singly, in the order taken on.
-pub(crate) fn order(view: &View, breaches: &mut Vec<Breach>) {
+/// Checks that messages of one order key are called one at a time, in the order in which they were sent.
+pub(crate) fn order(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
     let mut by_key: BTreeMap<&str, Vec<(&str, &Message)>> = BTreeMap::new();
-    for (id, m) in &view.messages {
-        if let (Some(key), Some(_)) = (m.order_key, m.taken_on()) {
+    for (id, m) in &index.messages {
+        if let (Some(key), Some(_)) = (m.order_key, m.accepted_at()) {
             by_key.entry(key).or_default().push((id, m));
         }
     }
     for list in by_key.values_mut() {
         list.sort_by(|a, b| a.1.sent.total_cmp(&b.1.sent));
         for (n, (id, m)) in list.iter().enumerate() {
-            for call in m.calls.iter().map(|call| &view.calls[call]) {
-                for (earlier, e) in &list[..n] {
-                    let open = view.ended(earlier, e).is_none_or(|end| end > call.called);
-                    let rests = e.calls.iter().map(|c| &view.calls[c]).any(|c| match c.end {
-                        Some((at, None)) => {
-                            call.called < at + view.terms.order_gap_ms && c.called < call.called
-                        }
-                        Some((at, _)) => c.called < call.called && at > call.called,
-                        None => c.called < call.called,
-                    });
-                    if open || rests {
-                        let text = format!("{id}: called before {earlier} was over");
+            for call in m.calls.iter().map(|call| &index.calls[call]) {
+                for (earlier_id, earlier) in &list[..n] {
+                    let open = index.ended_at(earlier_id, earlier).is_none_or(|end| end > call.called);
+                    let earlier_calls = earlier.calls.iter().map(|c| &index.calls[c]);
+                    let may_still_run =
+                        earlier_calls.filter(|c| c.called < call.called).any(|c| match c.end {
+                            Some((at, None)) => call.called < at + index.params.order_gap_ms,
+                            Some((at, _)) => at > call.called,
+                            None => true,
+                        });
+                    if open || may_still_run {
+                        let text = format!("{id}: called before {earlier_id} was over");
                         breaches.push(Breach { rule: Rule::Order, at: call.called, text });
                     }
                 }
@@ -338,22 +363,22 @@
     }
 }
 
-/// Nothing goes to a destination while a wait that it told lasts.
-pub(crate) fn wait(view: &View, breaches: &mut Vec<Breach>) {
-    let terms = view.terms;
+/// Checks that no call begins at a destination during a wait that it returned.
+pub(crate) fn wait(index: &LedgerIndex, breaches: &mut Vec<Breach>) {
+    let params = index.params;
     let mut dests: BTreeMap<u64, u64> = BTreeMap::new();
-    // By destination: the waits that hold, from when on nothing may come and until when.
+    // By destination: the periods of the present waits in which no call may begin.
     let mut waits: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
-    for Entry { at, event } in view.ledger {
+    for Entry { at, event } in index.ledger {
         match event {
             Event::Called { call, dest, .. } => drop(dests.insert(*call, *dest)),
             Event::Answered { call, wait_ms: Some(wait), .. } => {
                 let Some(dest) = dests.get(call) else { continue };
                 let list = waits.entry(*dest).or_default();
                 list.retain(|(_, until)| until > at);
-                list.push((at + terms.wait_grace_ms + terms.clock_slack_ms, at + wait));
+                list.push((at + params.wait_grace_ms + params.clock_slack_ms, at + wait));
             }
-            // A restart ends it.
+            // Waits are not kept over a restart.
             Event::Forwarder(ForwarderState::Ending) => waits.clear(),
             Event::Began { dest, uid, .. } => {
                 let list = waits.get(dest).map(Vec::as_slice).unwrap_or_default();
--- a/crates/checker/tests/rules.rs
+++ b/crates/checker/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The judge is judged: for each rule a run that keeps it and one that breaks it.
+//! Tests of the judge: for each rule, ledgers that keep it and ledgers that break it.
 
 use yarrowhill_checker::*;
 
@@ -10,7 +10,7 @@
     at(at_ms, Event::sent(id, class, 7, 1000.0))
 }
 
-fn heard(at_ms: f64, id: &str, status: u16) -> Entry {
+fn client_status(at_ms: f64, id: &str, status: u16) -> Entry {
     at(at_ms, Event::ClientDone { id: id.into(), outcome: ClientOutcome::Status(status) })
 }
 
@@ -31,126 +31,126 @@
     at(at_ms, Event::Notice { id: id.into(), handed_back, acknowledged: true })
 }
 
-fn broken(parts: &[&[Entry]]) -> Vec<Rule> {
+fn breached_rules(parts: &[&[Entry]]) -> Vec<Rule> {
     let mut ledger = parts.concat();
     ledger.sort_by(|a, b| a.at.total_cmp(&b.at));
     judge(&RuleParams::default(), &ledger).into_iter().map(|b| b.rule).collect()
 }
 
 #[test]
-fn what_is_taken_on_must_end_in_time() {
-    let start = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 202)];
+fn requires_an_end_in_time_for_accepted_messages() {
+    let start = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 202)];
     let call = called(10.0, 1, &["a"]);
     let good = [answered(20.0, 1, &[("a", CallEnd::Delivered)], None)];
-    assert_eq!(broken(&[&start, &call, &good]), []);
-    assert_eq!(broken(&[&start, &call]), [Rule::Lost]);
-    assert_eq!(broken(&[&start, &[notice(1290.0, "a", false)]]), []);
-    assert_eq!(broken(&[&start, &[notice(1500.0, "a", false)]]), [Rule::Lost]);
-    // Delivered when its time was up.
+    assert_eq!(breached_rules(&[&start, &call, &good]), []);
+    assert_eq!(breached_rules(&[&start, &call]), [Rule::Lost]);
+    assert_eq!(breached_rules(&[&start, &[notice(1290.0, "a", false)]]), []);
+    assert_eq!(breached_rules(&[&start, &[notice(1500.0, "a", false)]]), [Rule::Lost]);
+    // Delivered after the deadline.
     let late = [answered(1001.0, 1, &[("a", CallEnd::Delivered)], None)];
-    assert_eq!(broken(&[&start, &call, &late]), [Rule::Lost]);
-    // Refused, nothing is owed.
-    assert_eq!(broken(&[&[sent(0.0, "a", "unsafe"), heard(5.0, "a", 503)]]), []);
+    assert_eq!(breached_rules(&[&start, &call, &late]), [Rule::Lost]);
+    // Nothing is owed for a refused message.
+    assert_eq!(breached_rules(&[&[sent(0.0, "a", "unsafe"), client_status(5.0, "a", 503)]]), []);
 }
 
 #[test]
-fn a_call_counts_until_the_time_of_its_first_message() {
-    let first = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 202)];
-    let second = [sent(300.0, "b", "unsafe"), heard(305.0, "b", 202)];
+fn counts_a_delivery_only_until_the_earliest_deadline_in_its_call() {
+    let first = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 202)];
+    let second = [sent(300.0, "b", "unsafe"), client_status(305.0, "b", 202)];
     let start = [first, second].concat();
     let call = called(310.0, 1, &["a", "b"]);
     let both = [("a", CallEnd::Delivered), ("b", CallEnd::Delivered)];
-    assert_eq!(broken(&[&start, &call, &[answered(990.0, 1, &both, None)]]), []);
+    assert_eq!(breached_rules(&[&start, &call, &[answered(990.0, 1, &both, None)]]), []);
     let late = [answered(1002.0, 1, &both, None), notice(1003.0, "a", false)];
-    assert_eq!(broken(&[&start, &call, &late]), [Rule::Lost]);
-    assert_eq!(broken(&[&start, &call, &late, &[notice(1004.0, "b", false)]]), []);
+    assert_eq!(breached_rules(&[&start, &call, &late]), [Rule::Lost]);
+    assert_eq!(breached_rules(&[&start, &call, &late, &[notice(1004.0, "b", false)]]), []);
 }
 
 #[test]
-fn a_restart_gives_notices_more_time() {
-    let start = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 202)];
+fn allows_more_time_for_notices_after_a_restart() {
+    let start = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 202)];
     let life = [
         at(900.0, Event::Forwarder(ForwarderState::Ending)),
         at(1500.0, Event::Forwarder(ForwarderState::Ready)),
     ];
-    assert_eq!(broken(&[&start, &life, &[notice(2900.0, "a", false)]]), []);
-    assert_eq!(broken(&[&start, &life, &[notice(3200.0, "a", false)]]), [Rule::Lost]);
+    assert_eq!(breached_rules(&[&start, &life, &[notice(2900.0, "a", false)]]), []);
+    assert_eq!(breached_rules(&[&start, &life, &[notice(3200.0, "a", false)]]), [Rule::Lost]);
 }
 
 #[test]
-fn a_client_is_not_left_without_an_answer_after_its_message_went_out() {
+fn reports_a_broken_connection_only_after_the_message_was_called() {
     let broke = at(20.0, Event::ClientDone { id: "a".into(), outcome: ClientOutcome::Broken });
     let start = [sent(0.0, "a", "unsafe"), broke];
-    assert_eq!(broken(&[&start]), []);
+    assert_eq!(breached_rules(&[&start]), []);
     let call = called(10.0, 1, &["a"]);
-    assert_eq!(broken(&[&start, &call]), [Rule::Lost]);
+    assert_eq!(breached_rules(&[&start, &call]), [Rule::Lost]);
 }
 
 #[test]
-fn an_unsafe_message_is_called_again_only_if_it_never_ran() {
-    let start = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 202)];
+fn allows_a_second_call_of_an_unsafe_message_only_if_it_never_ran() {
+    let start = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 202)];
     let (first, second) = (called(10.0, 1, &["a"]), called(50.0, 2, &["a"]));
     let done = [answered(60.0, 2, &[("a", CallEnd::Delivered)], None)];
     let end = |end| [answered(20.0, 1, &[("a", end)], None)];
-    let again = |end: &[Entry]| broken(&[&start, &first, end, &second, &done]);
+    let again = |end: &[Entry]| breached_rules(&[&start, &first, end, &second, &done]);
     assert_eq!(again(&end(CallEnd::NeverRan)), []);
     assert_eq!(again(&end(CallEnd::MayHaveRun)), [Rule::Twice]);
     assert_eq!(again(&end(CallEnd::Delivered)), [Rule::Twice]);
     assert_eq!(again(&[at(20.0, Event::Broke { call: 1 })]), [Rule::Twice]);
-    // Still out.
+    // The first call has not ended.
     assert_eq!(again(&[]), [Rule::Twice]);
-    // No word that another try does no harm.
+    // A message that may have run is not handed back.
     let back = [notice(30.0, "a", true)];
-    assert_eq!(broken(&[&start, &first, &end(CallEnd::MayHaveRun), &back]), [Rule::Twice]);
-    assert_eq!(broken(&[&start, &first, &end(CallEnd::NeverRan), &back]), []);
+    assert_eq!(breached_rules(&[&start, &first, &end(CallEnd::MayHaveRun), &back]), [Rule::Twice]);
+    assert_eq!(breached_rules(&[&start, &first, &end(CallEnd::NeverRan), &back]), []);
 }
 
 #[test]
-fn a_keyed_message_is_called_again_while_its_key_is_known() {
-    let start = [at(0.0, Event::sent("a", "keyed", 7, 30_000.0)), heard(5.0, "a", 202)];
+fn allows_a_second_call_of_a_keyed_message_while_its_key_is_known() {
+    let start = [at(0.0, Event::sent("a", "keyed", 7, 30_000.0)), client_status(5.0, "a", 202)];
     let first = called(10.0, 1, &["a"]);
     let broke = [at(20.0, Event::Broke { call: 1 })];
     for (again, breach) in [(14_000.0, vec![]), (15_300.0, vec![Rule::Twice])] {
         let second = called(again, 2, &["a"]);
         let done = [answered(again + 10.0, 2, &[("a", CallEnd::Delivered)], None)];
-        assert_eq!(broken(&[&start, &first, &broke, &second, &done]), breach);
+        assert_eq!(breached_rules(&[&start, &first, &broke, &second, &done]), breach);
     }
 }
 
 #[test]
-fn nothing_is_called_after_its_end_was_told() {
-    let start = [sent(0.0, "a", "keyed"), heard(5.0, "a", 202), notice(100.0, "a", false)];
-    assert_eq!(broken(&[&start, &called(500.0, 1, &["a"])]), [Rule::Twice]);
+fn reports_a_call_after_an_acknowledged_notice() {
+    let start = [sent(0.0, "a", "keyed"), client_status(5.0, "a", 202), notice(100.0, "a", false)];
+    assert_eq!(breached_rules(&[&start, &called(500.0, 1, &["a"])]), [Rule::Twice]);
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_new() {
-    let told = [at(0.0, Event::Listed { uid: "s".into(), standing: Standing::Terminating })];
-    assert_eq!(broken(&[&told, &called(1900.0, 1, &[])]), []);
-    assert_eq!(broken(&[&told, &called(2300.0, 1, &[])]), [Rule::Drain]);
+fn reports_a_new_call_of_a_draining_endpoint() {
+    let listed = [at(0.0, Event::Listed { uid: "s".into(), standing: Standing::Terminating })];
+    assert_eq!(breached_rules(&[&listed, &called(1900.0, 1, &[])]), []);
+    assert_eq!(breached_rules(&[&listed, &called(2300.0, 1, &[])]), [Rule::Drain]);
     let again = [at(1000.0, Event::Listed { uid: "s".into(), standing: Standing::InService })];
-    assert_eq!(broken(&[&told, &again, &called(2300.0, 1, &[])]), []);
+    assert_eq!(breached_rules(&[&listed, &again, &called(2300.0, 1, &[])]), []);
 }
 
 #[test]
-fn a_returning_destination_is_not_pushed_over() {
+fn reports_an_overload_of_a_returning_destination() {
     let outage = [
         at(0.0, Event::Outage { dest: 7, back: false, capacity: 10.0 }),
         at(1000.0, Event::Outage { dest: 7, back: true, capacity: 10.0 }),
     ];
-    let seen = called(500.0, 1000, &[]);
+    let during = called(500.0, 1000, &[]);
     let flood = |calls: u64| -> Vec<Entry> {
         (0..calls).flat_map(|n| called(1010.0 + 10.0 * n as f64, n, &[])).collect()
     };
-    // Twice 17% and a little more of 10 a second, for 3 s: about 15, and chance.
-    assert_eq!(broken(&[&outage, &seen, &flood(15)]), []);
-    assert_eq!(broken(&[&outage, &seen, &flood(40)]), [Rule::FailBack]);
-    // One that has seen nothing of the outage can't know.
-    assert_eq!(broken(&[&outage, &flood(40)]), []);
+    // Twice the 17% and a little more of 10 calls a second, for 3 s: about 15, and random variation.
+    assert_eq!(breached_rules(&[&outage, &during, &flood(15)]), []);
+    assert_eq!(breached_rules(&[&outage, &during, &flood(40)]), [Rule::FailBack]);
+    // A forwarder that made no call during the outage cannot know of it.
+    assert_eq!(breached_rules(&[&outage, &flood(40)]), []);
 }
 
 #[test]
-fn messages_of_one_key_go_singly_and_in_order() {
+fn requires_messages_of_one_order_key_one_at_a_time_and_in_order() {
     let sent = |at_ms, id: &str| {
         let mut event = Event::sent(id, "safe", 7, 1000.0);
         if let Event::Sent { order_key, .. } = &mut event {
@@ -158,40 +158,40 @@
         }
         at(at_ms, event)
     };
-    let start = [sent(0.0, "a"), heard(1.0, "a", 202), sent(2.0, "b"), heard(3.0, "b", 202)];
+    let start = [sent(0.0, "a"), client_status(1.0, "a", 202), sent(2.0, "b"), client_status(3.0, "b", 202)];
     let done = |at_ms, call, id| [answered(at_ms, call, &[(id, CallEnd::Delivered)], None)];
     let go = |at_ms, call, id| [&called(at_ms, call, &[id])[..], &done(at_ms + 10.0, call, id)].concat();
-    assert_eq!(broken(&[&start, &go(10.0, 1, "a"), &go(30.0, 2, "b")]), []);
-    assert_eq!(broken(&[&start, &go(10.0, 2, "b"), &go(30.0, 1, "a")]), [Rule::Order]);
+    assert_eq!(breached_rules(&[&start, &go(10.0, 1, "a"), &go(30.0, 2, "b")]), []);
+    assert_eq!(breached_rules(&[&start, &go(10.0, 2, "b"), &go(30.0, 1, "a")]), [Rule::Order]);
 }
 
 #[test]
-fn a_wait_holds_for_its_destination() {
-    let start = [sent(0.0, "a", "unsafe"), heard(5.0, "a", 503)];
+fn reports_a_call_during_a_wait_of_its_destination() {
+    let start = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 503)];
     let first = called(10.0, 1, &["a"]);
-    let told = [answered(20.0, 1, &[("a", CallEnd::NeverRan)], Some(800.0))];
-    assert_eq!(broken(&[&start, &first, &told, &called(100.0, 2, &[])]), []);
-    assert_eq!(broken(&[&start, &first, &told, &called(400.0, 2, &[])]), [Rule::Wait]);
-    assert_eq!(broken(&[&start, &first, &told, &called(825.0, 2, &[])]), []);
+    let waits = [answered(20.0, 1, &[("a", CallEnd::NeverRan)], Some(800.0))];
+    assert_eq!(breached_rules(&[&start, &first, &waits, &called(100.0, 2, &[])]), []);
+    assert_eq!(breached_rules(&[&start, &first, &waits, &called(400.0, 2, &[])]), [Rule::Wait]);
+    assert_eq!(breached_rules(&[&start, &first, &waits, &called(825.0, 2, &[])]), []);
     let life = [
         at(300.0, Event::Forwarder(ForwarderState::Ending)),
         at(350.0, Event::Forwarder(ForwarderState::Ready)),
     ];
-    assert_eq!(broken(&[&start, &first, &told, &life, &called(400.0, 2, &[])]), []);
+    assert_eq!(breached_rules(&[&start, &first, &waits, &life, &called(400.0, 2, &[])]), []);
 }
 
 #[test]
-fn accounts_add_up() {
+fn counts_every_message_by_how_it_ended() {
     let ledger = [
         sent(0.0, "a", "unsafe"),
-        heard(1.0, "a", 202),
+        client_status(1.0, "a", 202),
         sent(0.0, "b", "unsafe"),
-        heard(1.0, "b", 503),
+        client_status(1.0, "b", 503),
         sent(0.0, "c", "unsafe"),
-        heard(1.0, "c", 202),
+        client_status(1.0, "c", 202),
         notice(5.0, "c", false),
         sent(0.0, "d", "unsafe"),
-        heard(1.0, "d", 202),
+        client_status(1.0, "d", 202),
     ];
     let account = accounts(&ledger)["unsafe"];
     assert_eq!((account.sent, account.refused, account.taken_on), (4, 1, 3));
