--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -1,85 +1,87 @@
-//! Clients: each hands in one message, waits, and may leave.
+//! Clients that submit messages, wait for the answer, and may leave.
 
 use crate::ledger::Ledger;
-use crate::wire::{Read, Wire};
+use crate::wire::{Connection, HttpMessage};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use yarrowhill_checker::{ClientOutcome, Event};
 
-/// A message to hand in.
+/// A message to submit.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its id.
+    /// Id of the message.
     pub id: String,
-    /// Its class.
+    /// Class of the message.
     pub class: String,
-    /// Its destination.
+    /// Destination of the message.
     pub dest: u64,
-    /// Its owner.
+    /// Owner of the message.
     pub owner: String,
-    /// How long it may be delivered (ms).
+    /// Time within which the message may be delivered (ms).
     pub deadline_ms: u64,
-    /// Bytes of its body.
+    /// Length of the body (bytes).
     pub body_bytes: usize,
 }
 
-/// How long a client waits.
+/// How a client behaves while it waits.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientOptions {
-    /// It leaves after this time (ms).
+    /// Time after which the client leaves (ms).
     pub timeout_ms: u64,
-    /// It stops halfway through its request and leaves.
+    /// Whether the client leaves after sending half of its request.
     pub abort_midway: bool,
 }
 
 impl Default for ClientOptions {
-    /// 400 ms, as PROTOCOL has it.
+    /// Returns the platform's time-out of 400 ms, without leaving midway.
     fn default() -> Self {
         ClientOptions { timeout_ms: 400, abort_midway: false }
     }
 }
 
-/// Hands a message in on a connection of its own. Gives what it heard, and the wait that it was told (ms).
+/// Submits a message on a connection of its own. Returns the outcome, and the wait that the answer asked for
+/// (ms).
 pub async fn submit(
     to: SocketAddr,
     message: &Message,
-    patience: ClientOptions,
+    options: ClientOptions,
     ledger: &Ledger,
 ) -> (ClientOutcome, Option<f64>) {
-    Session::new(to, ledger).submit(message, patience).await
+    Session::new(to, ledger).submit(message, options).await
 }
 
-/// A client that keeps its connection, one request at a time.
+/// A client that keeps its connection open and sends one request at a time.
 #[derive(Debug)]
 pub struct Session {
     to: SocketAddr,
-    wire: Option<Wire>,
+    /// The open connection, unless a request uses it.
+    connection: Option<Connection>,
     ledger: Ledger,
 }
 
 impl Session {
-    /// Connects with its first message.
+    /// Returns a session that connects when it submits its first message.
     pub fn new(to: SocketAddr, ledger: &Ledger) -> Self {
-        Session { to, wire: None, ledger: ledger.clone() }
+        Session { to, connection: None, ledger: ledger.clone() }
     }
 
-    /// Hands a message in. Gives what it heard, and the wait that it was told (ms).
+    /// Submits a message. Returns the outcome, and the wait that the answer asked for (ms).
     pub async fn submit(
         &mut self,
         message: &Message,
-        patience: ClientOptions,
+        options: ClientOptions,
     ) -> (ClientOutcome, Option<f64>) {
         let request = request(message);
         let Message { id, class, dest, deadline_ms, .. } = message;
-        // Its time counts from here, whether or not anybody listens.
+        // The deadline counts from here, whether or not the forwarder listens.
         self.ledger.write(Event::sent(id, class, *dest, *deadline_ms as f64));
-        let wait = Duration::from_millis(patience.timeout_ms);
-        let answer = timeout(wait, self.exchange(&request, patience.abort_midway)).await;
-        let (heard, wait) = match answer {
+        let time_limit = Duration::from_millis(options.timeout_ms);
+        let answer = timeout(time_limit, self.exchange(&request, options.abort_midway)).await;
+        let (outcome, wait) = match answer {
             Err(_) => (ClientOutcome::Left, None),
-            Ok(None) if patience.abort_midway => (ClientOutcome::Left, None),
+            Ok(None) if options.abort_midway => (ClientOutcome::Left, None),
             Ok(None) => (ClientOutcome::Broken, None),
             Ok(Some(answer)) => {
                 let wait = answer.header("retry-after").and_then(|w| w.parse::<f64>().ok());
@@ -89,43 +91,44 @@
                 )
             }
         };
-        self.ledger.write(Event::ClientDone { id: id.clone(), outcome: heard });
-        (heard, wait)
+        self.ledger.write(Event::ClientDone { id: id.clone(), outcome });
+        (outcome, wait)
     }
 
-    async fn exchange(&mut self, request: &[u8], half: bool) -> Option<Read> {
-        // Out of the session while it is in use: one that breaks, or that is left, is not used again.
-        if let Some(mut kept) = self.wire.take()
-            && !half
+    async fn exchange(&mut self, request: &[u8], abort_midway: bool) -> Option<HttpMessage> {
+        // Taken out of the session while in use: a connection that breaks or is abandoned is not used again.
+        if let Some(mut kept) = self.connection.take()
+            && !abort_midway
             && kept.write(request).await.is_ok()
             && let Ok(answer) = kept.read().await
         {
             return Some(self.keep(kept, answer));
         }
-        // Closed between two requests, with this one not read: it goes once more on a new connection.
-        let mut wire = Wire::new(TcpStream::connect(self.to).await.ok()?);
-        if half {
-            wire.write(&request[..request.len() / 2]).await.ok()?;
+        // The connection was closed between two requests, before this one was read: sends it again on a new
+        // connection.
+        let mut connection = Connection::new(TcpStream::connect(self.to).await.ok()?);
+        if abort_midway {
+            connection.write(&request[..request.len() / 2]).await.ok()?;
             return None;
         }
-        wire.write(request).await.ok()?;
-        let answer = wire.read().await.ok()?;
-        Some(self.keep(wire, answer))
+        connection.write(request).await.ok()?;
+        let answer = connection.read().await.ok()?;
+        Some(self.keep(connection, answer))
     }
 
-    fn keep(&mut self, wire: Wire, answer: Read) -> Read {
+    fn keep(&mut self, connection: Connection, answer: HttpMessage) -> HttpMessage {
         let closes = answer.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-        self.wire = Some(wire).filter(|_| !closes);
+        self.connection = Some(connection).filter(|_| !closes);
         answer
     }
 }
 
 fn request(message: &Message) -> Vec<u8> {
-    let Message { id, class, dest, owner, deadline_ms, body_bytes: body } = message;
+    let Message { id, class, dest, owner, deadline_ms, body_bytes } = message;
     let request = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nReq-Id: {id}\r\nReq-Owner: {owner}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\nIdempotency-Key: key-{id}\r\nEnvelope: dest={dest}\r\n\
-         Content-Length: {body}\r\n\r\n"
+         Content-Length: {body_bytes}\r\n\r\n"
     );
-    [request.as_bytes(), &vec![b'm'; *body]].concat()
+    [request.as_bytes(), &vec![b'm'; *body_bytes]].concat()
 }
--- a/crates/standins/src/config.rs
+++ b/crates/standins/src/config.rs
@@ -1,4 +1,4 @@
-//! Configurations in the platform's form (DEPLOY, "What a forwarder is told").
+//! Configurations of a forwarder in the platform's format.
 
 use crate::discovery::EndpointLine;
 use serde_json::{Value, json};
@@ -6,97 +6,100 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A class of message as the settings tell it.
+/// A class of messages in the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// `pure`, `token` or `side_effect`.
+    /// Effect of repeats: `pure`, `token` or `side_effect`.
     pub idempotency: &'static str,
-    /// How long a message may be delivered (ms).
+    /// Time within which a message may be delivered (ms).
     pub deadline_ms: u64,
 }
 
-/// The figures of a configuration that tests differ in.
+/// The parameters of a configuration that differ between tests.
 #[derive(Clone, Debug)]
 pub struct ConfigParams {
-    /// Classes.
+    /// Classes of messages.
     pub classes: Vec<Class>,
-    /// How long a key is remembered (ms).
+    /// Time for which destinations remember an idempotency key (ms).
     pub key_ttl_ms: f64,
-    /// A message earns its full worth within this (ms).
+    /// Time within which a delivered message has its full worth (ms).
     pub goal_time_ms: f64,
-    /// Calls out at once.
+    /// Number of slots: calls in progress at once.
     pub slots: usize,
-    /// The rule on returning destinations: multiple, for how long (ms), capacity at first, warm after (ms).
+    /// The rule on returning destinations: overload multiple, its period (ms), share of the capacity right
+    /// after an outage, and warm-up time (ms).
     pub fail_back: [f64; 4],
-    /// The seed of the forwarder's own chance.
+    /// Seed of the forwarder's random numbers.
     pub seed: u64,
-    /// What it may take.
+    /// Limits on the forwarder's resources.
     pub resources: Resources,
 }
 
-/// What a forwarder may take.
+/// Limits on the resources of a forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct Resources {
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Its disk (MB).
+    /// Disk space (MB).
     pub disk_mb: f64,
-    /// Messages that it may hold.
+    /// Maximum number of messages in progress.
     pub max_open: usize,
 }
 
 impl Default for Resources {
-    /// The least that the platform gives.
+    /// Returns the smallest limits that the platform sets.
     fn default() -> Self {
         Resources { sockets: 256, disk_mb: 3.0, max_open: 300 }
     }
 }
 
-/// The configuration of a forwarder that listens at `listen`. Kinds are `plain` and `several` (20 in a call),
-/// the one owner is `acme`.
+/// Returns the configuration of a forwarder that listens at `listen`. It has the endpoint kinds `plain` and
+/// `several` (batches of 20) and the single owner `acme`.
 pub fn configuration(
-    figures: &ConfigParams,
+    params: &ConfigParams,
     listen: SocketAddr,
     discovery: SocketAddr,
     lines: &[EndpointLine],
 ) -> Value {
     let class = |c: &Class| {
-        json!({"name": c.name, "idempotency": c.idempotency, "dedupScope": "all", "keyTtl": figures.key_ttl_ms,
-               "goalTime": figures.goal_time_ms, "deadline": c.deadline_ms as f64, "worth": 1.0, "lateShare": 0.4})
+        json!({"name": c.name, "idempotency": c.idempotency, "dedupScope": "all", "keyTtl": params.key_ttl_ms,
+               "goalTime": params.goal_time_ms, "deadline": c.deadline_ms as f64,
+               "worth": 1.0, "lateShare": 0.4})
     };
-    let Resources { sockets, disk_mb, max_open: open_cap } = figures.resources;
-    let [multiple, fall_for, start_capacity, warm_after] = figures.fail_back;
+    let Resources { sockets, disk_mb, max_open } = params.resources;
+    let [multiple, overload_for, start_capacity, warm_up] = params.fail_back;
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
-        "seed": format!("{:x}", figures.seed.max(1)),
+        "seed": format!("{:x}", params.seed.max(1)),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets, "disk_mb": disk_mb},
         "known": {"rev": 1, "all": true, "targets": lines},
         "settings": {
-            "classes": figures.classes.iter().map(class).collect::<Vec<_>>(),
+            "classes": params.classes.iter().map(class).collect::<Vec<_>>(),
             "kinds": ["plain", "several"], "zone": "a", "zones": ["a", "b"], "peersTotal": 1,
             "realms": [{"name": "acme", "quotaRps": 100_000.0}],
             "report": {"fields": ["x0", "x1"]}, "round": 5.0, "weights": "rough",
-            "familyInfo": {"batchByKind": [1, 20], "kindApart": [false, false], "slots": figures.slots},
-            "limits": {"maxAttempts": 6, "openCap": open_cap, "connectTimeout": 250.0, "idleClose": 2000.0,
+            "familyInfo": {"batchByKind": [1, 20], "kindApart": [false, false], "slots": params.slots},
+            "limits": {"maxAttempts": 6, "openCap": max_open, "connectTimeout": 250.0, "idleClose": 2000.0,
                        "retryAfter": true, "maxRetryAfter": 1000.0, "cancel": true},
-            "guarantees": {"fallMultiple": multiple, "overloadFor": fall_for, "startCapacity": start_capacity,
-                           "warmAfter": warm_after, "stopSendingWithin": 2000.0}
+            "guarantees": {"fallMultiple": multiple, "overloadFor": overload_for,
+                           "startCapacity": start_capacity, "warmAfter": warm_up, "stopSendingWithin": 2000.0}
         }
     })
 }
 
-/// An address of its own on loopback for each caller: nobody else takes the port between its choice and its use.
+/// Returns a loopback address that differs for each call, so that no other test takes the port between its
+/// choice and its use.
 ///
 /// # Errors
 ///
-/// No port is free.
+/// Fails if no port is free.
 pub fn free_address() -> io::Result<SocketAddr> {
-    static CHOSEN: AtomicU64 = AtomicU64::new(0);
-    let chosen = CHOSEN.fetch_add(1, Ordering::Relaxed);
+    static NEXT: AtomicU64 = AtomicU64::new(0);
+    let count = NEXT.fetch_add(1, Ordering::Relaxed);
     let pid = u64::from(std::process::id());
     let byte = |n: u64| (1 + n % 250) as u8;
-    let ip = [127, byte(pid / 250), byte(pid + chosen / 250), byte(chosen)];
+    let ip = [127, byte(pid / 250), byte(pid + count / 250), byte(count)];
     std::net::TcpListener::bind(SocketAddr::from((ip, 0)))?.local_addr()
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,7 +1,7 @@
-//! The platform's agent: the list of endpoints, watches, and notices.
+//! A stand-in for the platform's agent: the list of endpoints, watches, and notices.
 
 use crate::ledger::Ledger;
-use crate::wire::{Read, Wire, answer};
+use crate::wire::{Connection, HttpMessage, answer};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -15,29 +15,29 @@
 use tokio::time::{sleep, timeout};
 use yarrowhill_checker::{Event, Standing};
 
-/// One line of the list.
+/// One line of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLine {
-    /// Its name.
+    /// Uid of the endpoint.
     pub uid: String,
-    /// Its address.
+    /// Address of the endpoint.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub az: String,
-    /// Its kind.
+    /// Kind of the endpoint.
     pub model: String,
-    /// Its destination.
+    /// Destination of the endpoint.
     pub pod_group: u64,
-    /// How it stands.
+    /// State of the endpoint: `in_service`, `terminating` or `terminated`.
     pub state: String,
-    /// Its weight.
+    /// Weight of the endpoint.
     pub capacity_hint: f64,
-    /// When it started.
+    /// Start time of the endpoint (ms).
     pub boot_ms: u64,
 }
 
 impl EndpointLine {
-    /// An endpoint in service, in zone `a`.
+    /// Returns the line of an endpoint in service, in zone `a`.
     pub fn new(uid: &str, at: SocketAddr, dest: u64, kind: &str, weight: f64) -> Self {
         EndpointLine {
             uid: uid.to_owned(),
@@ -55,72 +55,73 @@
 #[derive(Debug)]
 struct State {
     lines: BTreeMap<String, EndpointLine>,
-    /// The version at which each line last changed.
+    /// Revision at which each line last changed.
     changed: BTreeMap<String, u64>,
     rev: u64,
-    /// Answers nothing to watches, and notices only below.
+    /// Whether queries for the list and watches get no answer; notices still do.
     silent: bool,
-    /// Share of notices that are read and not acknowledged, every nth.
-    drop_notices: u64,
-    notices: u64,
+    /// Every nth request with notices is read and not acknowledged; 0 for none.
+    drop_nth: u64,
+    /// Requests with notices so far.
+    notice_requests: u64,
 }
 
-/// A stand-in for discovery that listens. Clones share it.
+/// A running stand-in for discovery. Clones share its list.
 #[derive(Clone, Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
-    news: Arc<watch::Sender<u64>>,
+    changes: Arc<watch::Sender<u64>>,
     ledger: Ledger,
-    _accepting: Arc<Guard>,
+    _accepting: Arc<AbortOnDrop>,
 }
 
 #[derive(Debug)]
-struct Guard(JoinHandle<()>);
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Guard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 impl Discovery {
-    /// Starts one with a list.
+    /// Starts a stand-in with a list.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// Fails if no port can be bound.
     pub async fn start(lines: Vec<EndpointLine>, ledger: Ledger) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let changed = lines.iter().map(|l| (l.uid.clone(), 1)).collect();
         let lines = lines.into_iter().map(|l| (l.uid.clone(), l)).collect();
-        let state = State { lines, changed, rev: 1, silent: false, drop_notices: 0, notices: 0 };
+        let state = State { lines, changed, rev: 1, silent: false, drop_nth: 0, notice_requests: 0 };
         let state = Arc::new(Mutex::new(state));
-        let news = Arc::new(watch::channel(1).0);
-        let (s, n, l) = (state.clone(), news.clone(), ledger.clone());
+        let changes = Arc::new(watch::channel(1).0);
+        let shared = (state.clone(), changes.clone(), ledger.clone());
         let accepting = tokio::spawn(async move {
             let mut tasks = tokio::task::JoinSet::new();
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
-                let (s, n, l) = (s.clone(), n.clone(), l.clone());
+                let (state, changes, ledger) = shared.clone();
                 tasks.spawn(async move {
-                    // A connection that breaks ends its task.
-                    let _ = serve(Wire::new(stream), &s, &n, &l).await;
+                    // An error on a connection ends only its task.
+                    let _ = serve(Connection::new(stream), &state, &changes, &ledger).await;
                 });
                 while tasks.try_join_next().is_some() {}
             }
         });
-        let guard = Arc::new(Guard(accepting));
-        Ok(Discovery { addr, state, news, ledger, _accepting: guard })
+        let guard = Arc::new(AbortOnDrop(accepting));
+        Ok(Discovery { addr, state, changes, ledger, _accepting: guard })
     }
 
-    /// Another agent with the same list, at another address; the notices of both go to the same ledger.
+    /// Starts another agent with the same list, at another address. Both record notices in the same ledger.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// Fails if no port can be bound.
     pub async fn start_replica(&self) -> io::Result<Self> {
         Discovery::start(self.lines(), self.ledger.clone()).await
     }
@@ -129,17 +130,17 @@
         lock(&self.state)
     }
 
-    /// The list as it stands.
+    /// Returns the present list.
     pub fn lines(&self) -> Vec<EndpointLine> {
         self.lock().lines.values().cloned().collect()
     }
 
-    /// Its version.
+    /// Returns the revision of the list.
     pub fn rev(&self) -> u64 {
         self.lock().rev
     }
 
-    /// Adds a line or changes it.
+    /// Adds or replaces a line.
     pub fn set_line(&self, line: EndpointLine) {
         let mut state = self.lock();
         state.rev += 1;
@@ -147,10 +148,11 @@
         state.changed.insert(line.uid.clone(), rev);
         state.lines.insert(line.uid.clone(), line);
         drop(state);
-        self.news.send_replace(rev);
+        self.changes.send_replace(rev);
     }
 
-    /// Changes how an endpoint stands: `in_service`, `terminating` or `terminated`.
+    /// Sets the state of an endpoint: `in_service`, `terminating` or `terminated`. Does nothing if there is
+    /// no such endpoint.
     pub fn set_state(&self, uid: &str, state: &str) {
         let line = self.lock().lines.get(uid).cloned();
         if let Some(line) = line {
@@ -158,15 +160,15 @@
         }
     }
 
-    /// Whether it is silent from now on; notices are acknowledged all the same.
+    /// Stops or resumes answering queries for the list and watches. Notices are acknowledged in either case.
     pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
-        self.news.send_modify(|_| {});
+        self.changes.send_modify(|_| {});
     }
 
-    /// Every nth request with notices breaks off unacknowledged; 0: none.
+    /// Resets the connection of every nth request with notices without an acknowledgement; 0 for none.
     pub fn drop_notices(&self, nth: u64) {
-        self.lock().drop_notices = nth;
+        self.lock().drop_nth = nth;
     }
 }
 
@@ -175,30 +177,30 @@
 }
 
 async fn serve(
-    mut wire: Wire,
+    mut connection: Connection,
     state: &Mutex<State>,
-    news: &watch::Sender<u64>,
+    changes: &watch::Sender<u64>,
     ledger: &Ledger,
 ) -> io::Result<()> {
-    while wire.begins().await? {
-        let request = wire.read().await?;
+    while connection.await_first_byte().await? {
+        let request = connection.read().await?;
         if request.line.starts_with("POST /v1/notices ") {
-            if !notices(&mut wire, &request, state, ledger).await? {
-                wire.reset();
+            if !take_notices(&mut connection, &request, state, ledger).await? {
+                connection.reset();
                 return Ok(());
             }
             continue;
         }
         let (index, wait) = (number(&request.line, "index="), number(&request.line, "wait="));
         if let (Some(index), Some(wait)) = (index, wait) {
-            let mut at = news.subscribe();
+            let mut changed = changes.subscribe();
             let newer = async {
                 loop {
                     let ready = {
                         let state = lock(state);
                         state.rev > index && !state.silent
                     };
-                    if ready || at.changed().await.is_err() {
+                    if ready || changed.changed().await.is_err() {
                         return;
                     }
                 }
@@ -208,19 +210,19 @@
         while lock(state).silent {
             sleep(Duration::from_millis(20)).await;
         }
-        let (text, told) = {
+        let (text, listed) = {
             let state = lock(state);
-            let fresh = |uid: &str| index.is_none_or(|i| state.changed.get(uid).is_some_and(|c| *c > i));
-            let lines: Vec<&EndpointLine> = state.lines.values().filter(|l| fresh(&l.uid)).collect();
-            // Only changes name what is gone.
+            let changed = |uid: &str| index.is_none_or(|i| state.changed.get(uid).is_some_and(|c| *c > i));
+            let lines: Vec<&EndpointLine> = state.lines.values().filter(|l| changed(&l.uid)).collect();
+            // Only incremental answers name endpoints that are gone.
             let lines: Vec<&EndpointLine> =
                 lines.into_iter().filter(|l| index.is_some() || l.state != "terminated").collect();
-            let told: Vec<(String, String)> =
+            let listed: Vec<(String, String)> =
                 lines.iter().map(|l| (l.uid.clone(), l.state.clone())).collect();
-            (json!({"rev": state.rev, "all": index.is_none(), "targets": lines}).to_string(), told)
+            (json!({"rev": state.rev, "all": index.is_none(), "targets": lines}).to_string(), listed)
         };
-        wire.write(&answer(200, &[], text.as_bytes())).await?;
-        for (uid, state) in told {
+        connection.write(&answer(200, &[], text.as_bytes())).await?;
+        for (uid, state) in listed {
             let standing = match state.as_str() {
                 "in_service" => Standing::InService,
                 "terminating" => Standing::Terminating,
@@ -232,17 +234,23 @@
     Ok(())
 }
 
+/// Returns the number behind `name` in a request line.
 fn number(line: &str, name: &str) -> Option<u64> {
     let rest = line.split(name).nth(1)?;
     rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
-/// Takes in notices. False if they are not acknowledged.
-async fn notices(wire: &mut Wire, request: &Read, state: &Mutex<State>, ledger: &Ledger) -> io::Result<bool> {
+/// Records notices and answers their request. Returns false if they are not acknowledged.
+async fn take_notices(
+    connection: &mut Connection,
+    request: &HttpMessage,
+    state: &Mutex<State>,
+    ledger: &Ledger,
+) -> io::Result<bool> {
     let acknowledged = {
         let mut state = lock(state);
-        state.notices += 1;
-        state.drop_notices == 0 || !state.notices.is_multiple_of(state.drop_notices)
+        state.notice_requests += 1;
+        state.drop_nth == 0 || !state.notice_requests.is_multiple_of(state.drop_nth)
     };
     let lines: Option<Vec<Value>> = request
         .body
@@ -251,7 +259,7 @@
         .map(|l| serde_json::from_slice(l).ok())
         .collect();
     let Some(lines) = lines else {
-        wire.write(&answer(400, &[], b"")).await?;
+        connection.write(&answer(400, &[], b"")).await?;
         return Ok(true);
     };
     for notice in &lines {
@@ -260,7 +268,7 @@
         ledger.write(Event::Notice { id, handed_back, acknowledged });
     }
     if acknowledged {
-        wire.write(&answer(204, &[], b"")).await?;
+        connection.write(&answer(204, &[], b"")).await?;
     }
     Ok(acknowledged)
 }
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -1,8 +1,8 @@
-//! A destination's endpoint.
+//! Stand-ins for the endpoints of destinations.
 
 use crate::ledger::Ledger;
 use crate::rng::Rng;
-use crate::wire::{Read, Wire, answer};
+use crate::wire::{Connection, HttpMessage, answer};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -15,39 +15,39 @@
 use tokio::time::{sleep, timeout};
 use yarrowhill_checker::{CallEnd, Event};
 
-/// How an answer can be spoilt (or brings more than belongs to it).
+/// Ways in which an answer is malformed or carries more than it should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Malformed {
-    /// Bytes that are no answer.
+    /// Bytes that are not an HTTP answer.
     #[serde(rename = "Noise")]
     Garbage,
-    /// A first line that says 200, and a head that can't be read.
+    /// A status line with 200, and a head that cannot be parsed.
     #[serde(rename = "Head")]
     UnparsableHead,
     /// A head that does not end.
     EndlessHead,
-    /// A length longer than what comes.
+    /// A body shorter than its `Content-Length`.
     #[serde(rename = "Length")]
     ShortBody,
-    /// A body that is said to have 3 GB, and keeps coming.
+    /// A body with a `Content-Length` of 3 GB that keeps coming.
     #[serde(rename = "Huge")]
     HugeBody,
-    /// The front of a good answer, and no more.
+    /// The first part of a valid answer.
     #[serde(rename = "Cut")]
     Truncated,
-    /// A good answer with noise right behind.
+    /// A valid answer followed immediately by bytes that are not HTTP.
     #[serde(rename = "NoiseBehind")]
     TrailingGarbage,
-    /// A good answer with a load report that can't be read.
+    /// A valid answer with a load report that cannot be parsed.
     #[serde(rename = "Report")]
     UnparsableReport,
-    /// A good answer behind interim ones.
+    /// A valid answer after interim (1xx) answers.
     #[serde(rename = "Interim")]
     InterimResponses,
 }
 
 impl Malformed {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Malformed; 9] = [
         Malformed::Garbage,
         Malformed::UnparsableHead,
@@ -61,34 +61,34 @@
     ];
 }
 
-/// The shares of calls that fare in each way; what is left is served.
+/// Shares of the calls that fail in each way. The other calls are served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Faults {
-    /// Answered with a fault: it may have run.
+    /// Share answered with status 500: the message may have run.
     pub error: f64,
-    /// Answered with something spoilt.
+    /// Share answered with a malformed answer.
     #[serde(rename = "spoilt")]
     pub malformed: f64,
-    /// Never answered; the connection stays open.
+    /// Share never answered, on a connection that stays open.
     pub silent: f64,
-    /// Answered when the time of the first message in the call is just up: it counts for none.
+    /// Share answered just after the earliest deadline in the call: the delivery counts for no message.
     pub late: f64,
-    /// The connection is reset before the call is answered.
+    /// Share whose connection is reset before the call is answered.
     pub reset: f64,
-    /// A good answer, and the same again right behind.
+    /// Share with a valid answer that is sent twice.
     #[serde(rename = "copy")]
     pub duplicate: f64,
-    /// Such a copy comes after up to so long (ms), unless another call has begun by then.
+    /// Maximum delay of the second answer (ms). It is not sent if another call has begun by then.
     #[serde(rename = "copy_after")]
     pub duplicate_within_ms: f64,
-    /// Of a batch, some items are turned away, faulty or over.
+    /// Share of the batches in which some items are deferred, failed or expired.
     pub mixed: f64,
-    /// Answered in the last moments before the time of the first message is up.
+    /// Share answered just before the earliest deadline in the call.
     #[serde(rename = "last_moment")]
     pub just_in_time: f64,
 }
 
-/// What the endpoints of one destination share: its limit, its outage, its pace.
+/// State that the endpoints of one destination share: its rate limit, its outage, its latency.
 #[derive(Clone, Debug)]
 pub struct Destination {
     number: u64,
@@ -100,44 +100,47 @@
 struct State {
     faults: Faults,
     rng: Rng,
-    /// Usual time of a call (ms).
-    pace: f64,
-    /// Calls a second.
+    /// Usual duration of a call (ms).
+    latency: f64,
+    /// Rate limit (calls a second).
     limit: f64,
-    /// Share of refusals that tell a wait.
-    tells: f64,
-    allowance: f64,
-    filled: f64,
-    /// A wait that was told holds until then: nothing is let through that comes before.
+    /// Share of the refusals that return a wait.
+    wait_share: f64,
+    /// Tokens of the rate limit's bucket.
+    tokens: f64,
+    /// When the bucket was last refilled (ms).
+    refilled_at: f64,
+    /// The present outage.
     down: Option<Down>,
-    /// When it came back, and how long it takes to be warm (ms).
-    back: Option<(f64, f64)>,
-    /// When the time of each message is up, as its client has it.
+    /// When the last outage ended, and the duration of the warm-up (ms).
+    recovered: Option<(f64, f64)>,
+    /// Deadline of each message (ms since the start of the run), as its client has it.
     deadlines: std::collections::HashMap<String, f64>,
 }
 
-/// How a destination is down.
+/// Behaviour of a destination during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 enum Down {
-    /// It refuses all, and tells a wait until it is back (ms, run time).
-    Shut(f64),
-    /// It answers nothing.
+    /// The destination refuses all calls and returns a wait until this time (ms since the start of the run).
+    #[serde(rename = "Shut")]
+    Refusing(f64),
+    /// The destination does not answer.
     Silent,
 }
 
 impl Destination {
-    /// One that takes `limit` calls a second, each `pace` ms.
-    pub fn new(number: u64, pace: f64, limit: f64, faults: Faults, rng: Rng, ledger: Ledger) -> Self {
+    /// Returns a destination that takes `limit` calls a second, each for about `latency` ms.
+    pub fn new(number: u64, latency: f64, limit: f64, faults: Faults, rng: Rng, ledger: Ledger) -> Self {
         let state = State {
             faults,
             rng,
-            pace,
+            latency,
             limit,
-            tells: 0.7,
-            allowance: limit / 2.0,
-            filled: ledger.now(),
+            wait_share: 0.7,
+            tokens: limit / 2.0,
+            refilled_at: ledger.now(),
             down: None,
-            back: None,
+            recovered: None,
             deadlines: Default::default(),
         };
         Destination { number, state: Arc::new(Mutex::new(state)), ledger }
@@ -147,113 +150,116 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells when the time of a message is up: a late answer is timed by it.
-    pub fn set_deadline(&self, id: &str, up: f64) {
-        self.lock().deadlines.insert(id.to_owned(), up);
+    /// Sets the deadline of a message (ms since the start of the run), by which late and just-in-time answers
+    /// are timed.
+    pub fn set_deadline(&self, id: &str, deadline: f64) {
+        self.lock().deadlines.insert(id.to_owned(), deadline);
     }
 
-    /// It is down for `span` ms from now: shut (refusing all) or silent. Then it is back, cold.
-    pub fn go_down(&self, shut: bool, span: f64) {
-        let until = self.ledger.now() + span;
+    /// Begins an outage in which the destination refuses all calls or does not answer. Refusals return a wait
+    /// that ends `duration` ms from now; the outage itself ends with [`Destination::recover`].
+    pub fn go_down(&self, refuses: bool, duration: f64) {
+        let until = self.ledger.now() + duration;
         let mut state = self.lock();
-        state.down = Some(if shut { Down::Shut(until) } else { Down::Silent });
+        state.down = Some(if refuses { Down::Refusing(until) } else { Down::Silent });
         let capacity = state.limit;
         drop(state);
         self.ledger.write(Event::Outage { dest: self.number, back: false, capacity });
     }
 
-    /// It is back, and warm after `warm` ms.
-    pub fn recover(&self, warm: f64) {
+    /// Ends the outage. The destination has its full capacity after `warm_up` ms.
+    pub fn recover(&self, warm_up: f64) {
         let now = self.ledger.now();
         let mut state = self.lock();
         state.down = None;
-        state.back = Some((now, warm));
+        state.recovered = Some((now, warm_up));
         let capacity = state.limit;
         drop(state);
         self.ledger.write(Event::Outage { dest: self.number, back: true, capacity });
     }
 
-    /// Ends all faults, so that what is open can end.
+    /// Ends all faults, so that messages in progress can end.
     pub fn clear_faults(&self) {
         self.lock().faults = Faults::default();
     }
 }
 
-/// What an endpoint makes of one call.
-enum Fate {
+/// What an endpoint does with one call.
+enum Reaction {
     Serve,
     Refuse(Option<f64>),
     Error,
-    Spoil(Malformed),
+    Malformed(Malformed),
     Silent,
     Late,
-    LastMoment,
+    JustInTime,
     Reset,
-    Copy,
+    Duplicate,
     Mixed,
 }
 
 impl State {
-    fn fate(&mut self, now: f64, batch: bool) -> Fate {
+    fn react(&mut self, now: f64, batch: bool) -> Reaction {
         match self.down {
-            Some(Down::Shut(until)) => return Fate::Refuse(Some((until - now).max(1.0))),
-            Some(Down::Silent) => return Fate::Silent,
+            Some(Down::Refusing(until)) => return Reaction::Refuse(Some((until - now).max(1.0))),
+            Some(Down::Silent) => return Reaction::Silent,
             None => {}
         }
-        let warm = self.back.map_or(1.0, |(at, span)| (0.17 + 0.83 * (now - at) / span).clamp(0.17, 1.0));
-        self.allowance = (self.allowance + (now - self.filled) / 1000.0 * self.limit * warm)
+        let warm =
+            self.recovered.map_or(1.0, |(at, warm_up)| (0.17 + 0.83 * (now - at) / warm_up).clamp(0.17, 1.0));
+        self.tokens = (self.tokens + (now - self.refilled_at) / 1000.0 * self.limit * warm)
             .min((self.limit * warm / 2.0).max(2.0));
-        self.filled = now;
-        if self.allowance < 1.0 {
-            let wait = (1.0 - self.allowance) / (self.limit * warm) * 1000.0 + 50.0;
-            let tells = self.tells;
-            return Fate::Refuse(self.rng.random_bool(tells).then_some(wait));
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
+            let wait = (1.0 - self.tokens) / (self.limit * warm) * 1000.0 + 50.0;
+            let wait_share = self.wait_share;
+            return Reaction::Refuse(self.rng.random_bool(wait_share).then_some(wait));
         }
-        self.allowance -= 1.0;
+        self.tokens -= 1.0;
         let mut drawn = self.rng.random::<f64>();
-        let mut falls = |share: f64| {
+        let mut hits = |share: f64| {
             drawn -= share;
             drawn < 0.0
         };
-        let f = self.faults.clone();
-        if falls(f.error) {
-            Fate::Error
-        } else if falls(f.malformed) {
-            Fate::Spoil(Malformed::ALL[self.rng.random_range(0..Malformed::ALL.len())])
-        } else if falls(f.silent) {
-            Fate::Silent
-        } else if falls(f.late) {
-            Fate::Late
-        } else if falls(f.reset) {
-            Fate::Reset
-        } else if falls(f.duplicate) {
-            Fate::Copy
-        } else if falls(f.just_in_time) {
-            Fate::LastMoment
-        } else if batch && falls(f.mixed) {
-            Fate::Mixed
+        let faults = self.faults.clone();
+        if hits(faults.error) {
+            Reaction::Error
+        } else if hits(faults.malformed) {
+            Reaction::Malformed(Malformed::ALL[self.rng.random_range(0..Malformed::ALL.len())])
+        } else if hits(faults.silent) {
+            Reaction::Silent
+        } else if hits(faults.late) {
+            Reaction::Late
+        } else if hits(faults.reset) {
+            Reaction::Reset
+        } else if hits(faults.duplicate) {
+            Reaction::Duplicate
+        } else if hits(faults.just_in_time) {
+            Reaction::JustInTime
+        } else if batch && hits(faults.mixed) {
+            Reaction::Mixed
         } else {
-            Fate::Serve
+            Reaction::Serve
         }
     }
 }
 
-/// One endpoint that listens. Dropped, it is gone with all its connections.
+/// A running endpoint. Dropping it closes its listener and all its connections.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its name in the list.
+    /// Uid of the endpoint in the list.
     pub uid: String,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
     accepting: JoinHandle<()>,
 }
 
 impl Endpoint {
-    /// Listens at `at` (a port of 0: any), for a destination.
+    /// Starts an endpoint of a destination that listens at `at` (port 0 for any port).
     ///
     /// # Errors
     ///
-    /// The address can't be had.
+    /// Fails if the address cannot be bound.
     pub async fn start(uid: &str, at: SocketAddr, dest: &Destination) -> io::Result<Self> {
         let listener = TcpListener::bind(at).await?;
         let addr = listener.local_addr()?;
@@ -264,8 +270,8 @@
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let (dest, name) = (dest.clone(), name.clone());
                 tasks.spawn(async move {
-                    // A connection that breaks ends its task, whatever it was about.
-                    let _ = serve(Wire::new(stream), &name, &dest).await;
+                    // An error on a connection ends only its task.
+                    let _ = serve(Connection::new(stream), &name, &dest).await;
                 });
                 while tasks.try_join_next().is_some() {}
             }
@@ -280,7 +286,7 @@
     }
 }
 
-/// One call as it was read.
+/// A call that was read.
 struct Call<'a> {
     number: u64,
     ids: Vec<String>,
@@ -289,57 +295,59 @@
 }
 
 impl Call<'_> {
-    fn answered(&self, end: CallEnd, wait_ms: Option<f64>) {
+    fn record_answer(&self, end: CallEnd, wait_ms: Option<f64>) {
         let ends = self.ids.iter().map(|id| (id.clone(), end)).collect();
         self.dest.ledger.write(Event::Answered { call: self.number, ends, wait_ms });
     }
 
-    fn broke(&self) {
+    fn record_break(&self) {
         self.dest.ledger.write(Event::Broke { call: self.number });
     }
 
-    /// Body and headers of a good answer.
-    fn good(&self) -> Vec<u8> {
+    /// Returns the bytes of a valid answer.
+    fn valid_answer(&self) -> Vec<u8> {
         let report = [("Srv-Load", format!("x0=0.5,x1={:.3}", self.dest.lock().limit))];
-        let body = if self.batch { self.states(|_| "accepted") } else { Vec::new() };
+        let body = if self.batch { self.item_states(|_| "accepted") } else { Vec::new() };
         answer(200, &report, &body)
     }
 
-    fn states(&self, state: impl Fn(usize) -> &'static str) -> Vec<u8> {
+    /// Returns the body of a batch's answer, with a state for each item by its position.
+    fn item_states(&self, state: impl Fn(usize) -> &'static str) -> Vec<u8> {
         let items = self.ids.iter().enumerate().map(|(n, id)| json!({"id": id, "state": state(n)}));
         Value::Array(items.collect()).to_string().into_bytes()
     }
 
-    /// When the time of its first message is up.
-    fn up(&self) -> f64 {
+    /// Returns the earliest deadline of the call's messages (ms since the start of the run).
+    fn deadline(&self) -> f64 {
         let state = self.dest.lock();
-        let ups = self.ids.iter().filter_map(|id| state.deadlines.get(id).copied());
-        ups.fold(f64::INFINITY, f64::min)
+        let deadlines = self.ids.iter().filter_map(|id| state.deadlines.get(id).copied());
+        deadlines.fold(f64::INFINITY, f64::min)
     }
 }
 
-/// A call that begins so soon after a copy (ms) may have crossed it.
-const CROSSES: f64 = 5.0;
+/// A call that begins within this time after a duplicate answer may have been sent before the answer arrived.
+const CROSSING_MS: f64 = 5.0;
 
-/// What becomes of a connection.
+/// What to do with a connection after a call.
 enum Next {
-    /// It carries another call.
+    /// Wait for another call.
     Call,
-    /// The same, and the last answer has just been sent once more.
-    CopySent,
+    /// Wait for another call, after the last answer has just been sent a second time.
+    DuplicateSent,
+    /// Reset the connection.
     Reset,
 }
 
-async fn serve(mut wire: Wire, uid: &str, dest: &Destination) -> io::Result<()> {
-    let mut copied: Option<f64> = None;
+async fn serve(mut connection: Connection, uid: &str, dest: &Destination) -> io::Result<()> {
+    let mut duplicate_sent: Option<f64> = None;
     loop {
-        if !wire.begins().await? {
+        if !connection.await_first_byte().await? {
             return Ok(());
         }
         let number = dest.ledger.next_call();
         dest.ledger.write(Event::Began { call: number, uid: uid.to_owned(), dest: dest.number });
-        let request = wire.read().await?;
-        let (ids, batch) = ids(&request);
+        let request = connection.read().await?;
+        let (ids, batch) = message_ids(&request);
         dest.ledger.write(Event::Called {
             call: number,
             uid: uid.to_owned(),
@@ -347,29 +355,30 @@
             ids: ids.clone(),
         });
         let call = Call { number, ids, batch, dest };
-        if copied.take().is_some_and(|at| dest.ledger.now() < at + CROSSES) {
-            // It may have been written before the copy came, and nothing tells the copy from its answer: so that is
-            // what the answer says.
-            call.answered(CallEnd::Delivered, None);
-            wire.write(&call.good()).await?;
+        if duplicate_sent.take().is_some_and(|at| dest.ledger.now() < at + CROSSING_MS) {
+            // The call may have been sent before the duplicate answer arrived, and then its sender takes the
+            // duplicate for the answer to this call. So the call is answered in the same way.
+            call.record_answer(CallEnd::Delivered, None);
+            connection.write(&call.valid_answer()).await?;
             continue;
         }
-        match answer_to(&mut wire, &call).await {
+        match answer_to(&mut connection, &call).await {
             Ok(Next::Call) => {}
-            Ok(Next::CopySent) => copied = Some(dest.ledger.now()),
+            Ok(Next::DuplicateSent) => duplicate_sent = Some(dest.ledger.now()),
             Ok(Next::Reset) => {
-                wire.reset();
+                connection.reset();
                 return Ok(());
             }
             Err(e) => {
-                call.broke();
+                call.record_break();
                 return Err(e);
             }
         }
     }
 }
 
-fn ids(request: &Read) -> (Vec<String>, bool) {
+/// Returns the ids of the messages in a request, and whether it is a batch.
+fn message_ids(request: &HttpMessage) -> (Vec<String>, bool) {
     if !request.line.starts_with("POST /hook/batch ") {
         return (request.header("req-id").map(str::to_owned).into_iter().collect(), false);
     }
@@ -377,132 +386,138 @@
     (items.iter().filter_map(|item| item["id"].as_str()).map(str::to_owned).collect(), true)
 }
 
-/// Answers a call.
-async fn answer_to(wire: &mut Wire, call: &Call<'_>) -> io::Result<Next> {
+/// Reacts to a call, and records how it ended.
+async fn answer_to(connection: &mut Connection, call: &Call<'_>) -> io::Result<Next> {
     let dest = call.dest;
     let now = dest.ledger.now();
-    let (fate, pace) = {
+    let (reaction, duration) = {
         let mut state = dest.lock();
         let spread = state.rng.random_range(0.6..1.6);
-        (state.fate(now, call.batch), state.pace * spread)
+        (state.react(now, call.batch), state.latency * spread)
     };
-    if let Fate::Refuse(wait) = fate {
+    if let Reaction::Refuse(wait) = reaction {
         let headers: Vec<_> = wait.iter().map(|w| ("Wait-Ms", format!("{w:.0}"))).collect();
         let status = if wait.is_some() { 429 } else { 503 };
-        wire.write(&answer(status, &headers, b"")).await?;
-        call.answered(CallEnd::NeverRan, wait);
+        connection.write(&answer(status, &headers, b"")).await?;
+        call.record_answer(CallEnd::NeverRan, wait);
         return Ok(Next::Call);
     }
-    if !matches!(fate, Fate::Silent | Fate::Late | Fate::LastMoment) && !waited(wire, pace).await {
-        call.broke();
+    if !matches!(reaction, Reaction::Silent | Reaction::Late | Reaction::JustInTime)
+        && !serve_for(connection, duration).await
+    {
+        call.record_break();
         return Ok(Next::Reset);
     }
-    match fate {
-        Fate::Refuse(_) => {}
-        Fate::Serve => {
-            wire.write(&call.good()).await?;
-            call.answered(CallEnd::Delivered, None);
+    match reaction {
+        Reaction::Refuse(_) => {}
+        Reaction::Serve => {
+            connection.write(&call.valid_answer()).await?;
+            call.record_answer(CallEnd::Delivered, None);
         }
-        Fate::Error => {
-            wire.write(&answer(500, &[], b"")).await?;
-            call.answered(CallEnd::MayHaveRun, None);
+        Reaction::Error => {
+            connection.write(&answer(500, &[], b"")).await?;
+            call.record_answer(CallEnd::MayHaveRun, None);
         }
-        Fate::Reset => {
-            call.broke();
+        Reaction::Reset => {
+            call.record_break();
             return Ok(Next::Reset);
         }
-        Fate::Silent => {
-            while !wire.closed().await {}
-            call.broke();
+        Reaction::Silent => {
+            while !connection.await_close().await {}
+            call.record_break();
             return Ok(Next::Reset);
         }
-        Fate::Late | Fate::LastMoment => {
-            let up = call.up();
-            let at = if matches!(fate, Fate::Late) { up + 5.0 } else { up - 30.0 };
+        Reaction::Late | Reaction::JustInTime => {
+            let deadline = call.deadline();
+            let at = if matches!(reaction, Reaction::Late) { deadline + 5.0 } else { deadline - 30.0 };
             let left = (at - dest.ledger.now()).clamp(0.0, 20_000.0);
-            if !waited(wire, left).await {
-                call.broke();
+            if !serve_for(connection, left).await {
+                call.record_break();
                 return Ok(Next::Reset);
             }
-            let good = call.good();
-            wire.write(&good).await?;
-            call.answered(CallEnd::Delivered, None);
+            let valid = call.valid_answer();
+            connection.write(&valid).await?;
+            call.record_answer(CallEnd::Delivered, None);
         }
-        Fate::Copy => {
-            let good = call.good();
-            let after = {
+        Reaction::Duplicate => {
+            let valid = call.valid_answer();
+            let delay = {
                 let mut state = dest.lock();
-                let most = state.faults.duplicate_within_ms;
-                if most > 0.0 { state.rng.random_range(0.0..most) } else { 0.0 }
+                let max = state.faults.duplicate_within_ms;
+                if max > 0.0 { state.rng.random_range(0.0..max) } else { 0.0 }
             };
-            if after == 0.0 {
-                wire.write(&[&good[..], &good].concat()).await?;
-                call.answered(CallEnd::Delivered, None);
+            if delay == 0.0 {
+                connection.write(&[&valid[..], &valid].concat()).await?;
+                call.record_answer(CallEnd::Delivered, None);
             } else {
-                wire.write(&good).await?;
-                call.answered(CallEnd::Delivered, None);
-                // Where another call waits there is no copy: nothing would tell it from that call's answer.
-                let next = timeout(Duration::from_secs_f64(after / 1000.0), wire.begins()).await;
+                connection.write(&valid).await?;
+                call.record_answer(CallEnd::Delivered, None);
+                // The duplicate is not sent if another call has begun: it would be taken for that call's
+                // answer.
+                let next =
+                    timeout(Duration::from_secs_f64(delay / 1000.0), connection.await_first_byte()).await;
                 if next.is_err() {
-                    wire.write(&good).await?;
-                    return Ok(Next::CopySent);
+                    connection.write(&valid).await?;
+                    return Ok(Next::DuplicateSent);
                 }
             }
         }
-        Fate::Mixed => {
-            let body = call.states(|n| ["accepted", "deferred", "fault", "expired"][n % 4]);
-            wire.write(&answer(200, &[], &body)).await?;
+        Reaction::Mixed => {
+            let body = call.item_states(|n| ["accepted", "deferred", "fault", "expired"][n % 4]);
+            connection.write(&answer(200, &[], &body)).await?;
             let end =
                 |n: usize| [CallEnd::Delivered, CallEnd::NeverRan, CallEnd::MayHaveRun, CallEnd::Over][n % 4];
             let ends = call.ids.iter().enumerate().map(|(n, id)| (id.clone(), end(n))).collect();
             dest.ledger.write(Event::Answered { call: call.number, ends, wait_ms: None });
         }
-        Fate::Spoil(how) => return spoil(wire, call, how).await,
+        Reaction::Malformed(kind) => return answer_malformed(connection, call, kind).await,
     }
     Ok(Next::Call)
 }
 
-/// Works on a call. False if the other side closed meanwhile.
-async fn waited(wire: &mut Wire, ms: f64) -> bool {
-    timeout(Duration::from_secs_f64(ms / 1000.0), wire.closed()).await.is_err()
+/// Waits while a call is served. Returns false if the peer closed the connection or sent more bytes
+/// meanwhile.
+async fn serve_for(connection: &mut Connection, ms: f64) -> bool {
+    timeout(Duration::from_secs_f64(ms / 1000.0), connection.await_close()).await.is_err()
 }
 
-async fn spoil(wire: &mut Wire, call: &Call<'_>, how: Malformed) -> io::Result<Next> {
-    let good = call.good();
-    // For one message a first line with 200 is true, whatever follows.
-    let by_line = if call.batch { CallEnd::MayHaveRun } else { CallEnd::Delivered };
-    let (bytes, end): (Vec<u8>, CallEnd) = match how {
+/// Sends a malformed answer, and records what it says of the messages as far as it can be read.
+async fn answer_malformed(connection: &mut Connection, call: &Call<'_>, kind: Malformed) -> io::Result<Next> {
+    let valid = call.valid_answer();
+    // For a single message the status line decides, whatever follows it.
+    let by_status = if call.batch { CallEnd::MayHaveRun } else { CallEnd::Delivered };
+    let (bytes, end): (Vec<u8>, CallEnd) = match kind {
         Malformed::Garbage => (b"\x00\x01\xffno answer\r\n\r\n".to_vec(), CallEnd::MayHaveRun),
-        Malformed::UnparsableHead => (b"HTTP/1.1 200 OK\r\n\x00: \x01\r\n\r\n".to_vec(), by_line),
-        Malformed::EndlessHead => (b"HTTP/1.1 200 OK\r\nA: ".to_vec(), by_line),
-        Malformed::ShortBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nshort".to_vec(), by_line),
-        Malformed::HugeBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n".to_vec(), by_line),
-        Malformed::Truncated => (good[..good.len() * 2 / 3].to_vec(), by_line),
-        Malformed::TrailingGarbage => ([&good[..], b"\x00noise"].concat(), CallEnd::Delivered),
+        Malformed::UnparsableHead => (b"HTTP/1.1 200 OK\r\n\x00: \x01\r\n\r\n".to_vec(), by_status),
+        Malformed::EndlessHead => (b"HTTP/1.1 200 OK\r\nA: ".to_vec(), by_status),
+        Malformed::ShortBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nshort".to_vec(), by_status),
+        Malformed::HugeBody => (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n".to_vec(), by_status),
+        Malformed::Truncated => (valid[..valid.len() * 2 / 3].to_vec(), by_status),
+        Malformed::TrailingGarbage => ([&valid[..], b"\x00noise"].concat(), CallEnd::Delivered),
         Malformed::UnparsableReport => {
-            let body = if call.batch { call.states(|_| "accepted") } else { Vec::new() };
+            let body = if call.batch { call.item_states(|_| "accepted") } else { Vec::new() };
             let report = [("Srv-Load", "x0=\u{fffd},x1=NaN,=,".to_owned())];
             (answer(200, &report, &body), CallEnd::Delivered)
         }
         Malformed::InterimResponses => {
             let ahead = b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\n";
-            ([&ahead[..], &good].concat(), CallEnd::Delivered)
+            ([&ahead[..], &valid].concat(), CallEnd::Delivered)
         }
     };
-    wire.write(&bytes).await?;
-    call.answered(end, None);
-    match how {
+    connection.write(&bytes).await?;
+    call.record_answer(end, None);
+    match kind {
         Malformed::UnparsableReport | Malformed::InterimResponses => return Ok(Next::Call),
         Malformed::HugeBody => {
-            // As long as anybody reads it, and no longer than a second.
+            // Until the peer closes the connection, for at most a second.
             for _ in 0..100 {
-                wire.write(&[b'x'; 8192]).await?;
+                connection.write(&[b'x'; 8192]).await?;
                 sleep(Duration::from_millis(10)).await;
             }
         }
         _ => {}
     }
-    // The connection stays open and is of no further use.
-    while !wire.closed().await {}
+    // The connection stays open, without serving further calls.
+    while !connection.await_close().await {}
     Ok(Next::Reset)
 }
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -1,10 +1,10 @@
-//! The common ledger.
+//! The ledger that all stand-ins of a run share.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 use yarrowhill_checker::{Entry, Event};
 
-/// What all stand-ins of a run write down, on one clock. Clones share it.
+/// The events that all stand-ins of a run record, on one clock. Clones share the events.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     start: Instant,
@@ -19,35 +19,35 @@
 }
 
 impl Ledger {
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start of the run.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Writes down what happened just now.
+    /// Records an event with the current time.
     pub fn write(&self, event: Event) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock, so that the order of entries is that of their times.
+        // The time is read under the lock, so that entries are ordered by time.
         let at = self.now();
         entries.push(Entry { at, event });
     }
 
-    /// A number for a call.
+    /// Returns the number for the next call.
     pub fn next_call(&self) -> u64 {
         self.calls.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// All entries so far.
+    /// Returns all entries so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// Whether nothing has been written.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,12 +1,13 @@
-//! Stand-ins for everything round a forwarder: endpoints, discovery and clients, on loopback, each writing down
-//! in one [`Ledger`] what reached it and what it answered. They are written from PROTOCOL, and share no code with
-//! the forwarder.
+//! Stand-ins for everything around a forwarder: endpoints, discovery and clients, on loopback, all of which
+//! record in one [`Ledger`] what reached them and what they answered. They are written from the platform's
+//! protocol and share no code with the forwarder.
 //!
-//! - `rng`, `ledger`, `wire`: chance by a seed, the common ledger, HTTP/1.1 as bytes
-//! - `endpoint`: a destination's endpoint, with whatever faults it is told to have
+//! - `rng`, `ledger`, `wire`: seeded random numbers, the shared ledger, HTTP/1.1 as bytes
+//! - `endpoint`: endpoints of a destination, with the faults they are configured to have
 //! - `discovery`: the platform's agent: list, watches, notices
-//! - `client`: clients that wait, leave and come again
-//! - `process`: the program under test, as a process of its own
+//! - `client`: clients that wait, leave and return
+//! - `config`: configurations of the forwarder
+//! - `process`: the program under test, as a child process
 
 mod client;
 mod config;
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,7 +1,7 @@
-//! The program under test, as a process of its own.
+//! The program under test, as a child process.
 
 use crate::ledger::Ledger;
-use crate::wire::Wire;
+use crate::wire::Connection;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -13,53 +13,54 @@
 use tokio::time::{sleep, timeout};
 use yarrowhill_checker::{Event, ForwarderState};
 
-/// How the program is started.
+/// How the program under test is started.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// A folder of its own: `config.json`, `state` and `log` are made there.
+    /// Folder of the process; `config.json`, `state` and `log` are created in it.
     pub folder: PathBuf,
-    /// Further variables of its environment.
+    /// Additional environment variables.
     pub env: Vec<(String, String)>,
-    /// No file of its may grow longer than this (bytes): writes stop short there.
+    /// Maximum length of the process's files (bytes): writes are cut short there.
     pub max_file_bytes: Option<u64>,
-    /// No more descriptors than this.
+    /// Maximum number of file descriptors.
     pub max_descriptors: Option<u64>,
 }
 
-/// The running program.
+/// The running program under test.
 #[derive(Debug)]
 pub struct Process {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub addr: SocketAddr,
     setup: Setup,
     child: Child,
     ledger: Ledger,
 }
 
-/// Longer than a start should take.
-const START: Duration = Duration::from_secs(20);
-/// Bytes of its log that tell why it ended.
-const SAID: usize = 600;
+/// Maximum time until the process is ready; longer than a start should take.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Length of the end of the log that error messages quote (bytes).
+const LOG_TAIL_BYTES: usize = 600;
 
 impl Process {
-    /// Starts it with a configuration, and waits until it is ready.
+    /// Starts the program with a configuration and waits until it is ready.
     ///
     /// # Errors
     ///
-    /// It can't be started, or does not get ready.
+    /// Fails if the program cannot be started, ends before it is ready, or is not ready in time.
     pub async fn start(setup: Setup, config: &Value, ledger: &Ledger) -> io::Result<Self> {
         let mut process = Process::spawn(setup, config, ledger)?;
-        process.ready().await?;
+        process.wait_ready().await?;
         Ok(process)
     }
 
-    /// Starts it with a configuration, and does not wait: it may have reasons never to be ready.
+    /// Starts the program with a configuration without waiting until it is ready, for programs that may never
+    /// be.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// Fails if the program cannot be started.
     pub fn spawn(setup: Setup, config: &Value, ledger: &Ledger) -> io::Result<Self> {
         std::fs::create_dir_all(setup.folder.join("state"))?;
         std::fs::write(setup.folder.join("config.json"), config.to_string())?;
@@ -69,12 +70,14 @@
         Ok(Process { addr, setup, child, ledger: ledger.clone() })
     }
 
-    async fn ready(&mut self) -> io::Result<()> {
-        let asked = async {
+    async fn wait_ready(&mut self) -> io::Result<()> {
+        let ready = async {
             loop {
                 if let Some(status) = self.child.try_wait()? {
-                    let said = self.last_said();
-                    return Err(io::Error::other(format!("it ended before it was ready: {status}: {said}")));
+                    let log = self.log_tail();
+                    return Err(io::Error::other(format!(
+                        "the program ended before it was ready: {status}: {log}"
+                    )));
                 }
                 if is_ready(self.addr).await {
                     return Ok(());
@@ -82,55 +85,56 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(START, asked).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+        timeout(START_TIMEOUT, ready).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         self.ledger.write(Event::Forwarder(ForwarderState::Ready));
         Ok(())
     }
 
-    /// The end of what it said on its way out.
-    fn last_said(&self) -> String {
+    /// Returns the end of the program's log.
+    fn log_tail(&self) -> String {
         let log = std::fs::read(self.setup.folder.join("log")).unwrap_or_default();
-        String::from_utf8_lossy(&log[log.len().saturating_sub(SAID)..]).into_owned()
+        String::from_utf8_lossy(&log[log.len().saturating_sub(LOG_TAIL_BYTES)..]).into_owned()
     }
 
-    /// Starts it again with a configuration, without some of its variables.
+    /// Starts the program again with a configuration, without the environment variable `without`, and waits
+    /// until it is ready.
     ///
     /// # Errors
     ///
-    /// As for [`Process::start`].
+    /// Fails as [`Process::start`] does.
     pub async fn restart(&mut self, config: &Value, without: &str) -> io::Result<()> {
         std::fs::write(self.setup.folder.join("config.json"), config.to_string())?;
         self.setup.env.retain(|(name, _)| name != without);
         self.child = spawn(&self.setup)?;
-        self.ready().await
+        self.wait_ready().await
     }
 
-    /// Starts it again with a configuration, and does not wait until it is ready.
+    /// Starts the program again with a configuration without waiting until it is ready.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// Fails if the program cannot be started.
     pub fn respawn(&mut self, config: &Value) -> io::Result<()> {
         std::fs::write(self.setup.folder.join("config.json"), config.to_string())?;
         self.child = spawn(&self.setup)?;
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the process to end.
     ///
     /// # Errors
     ///
-    /// It can't be waited for.
+    /// Fails if the process cannot be waited for.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.ledger.write(Event::Forwarder(ForwarderState::Ending));
         self.child.kill().await
     }
 
-    /// Another signal, by its name.
+    /// Sends a signal, given by its name without `SIG`.
     ///
     /// # Errors
     ///
-    /// `kill` can't be run.
+    /// Fails if the process has ended or the command `kill` cannot be run.
     pub async fn signal(&self, name: &str) -> io::Result<()> {
         if name == "TERM" {
             self.ledger.write(Event::Forwarder(ForwarderState::Ending));
@@ -143,61 +147,61 @@
     ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// Fails if the file cannot be written or the signal cannot be sent.
     pub async fn reload(&self, config: &Value) -> io::Result<()> {
         std::fs::write(self.setup.folder.join("config.json"), config.to_string())?;
         self.signal("HUP").await
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status, if the process has ended.
     ///
     /// # Errors
     ///
-    /// It can't be waited for.
+    /// Fails if the process cannot be waited for.
     pub fn try_exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
-        let ended = self.child.try_wait()?;
-        if ended.is_some() {
+        let status = self.child.try_wait()?;
+        if status.is_some() {
             self.ledger.write(Event::Forwarder(ForwarderState::Ending));
         }
-        Ok(ended)
+        Ok(status)
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end.
     ///
     /// # Errors
     ///
-    /// It does not end in `most`.
-    pub async fn wait_exit(&mut self, most: Duration) -> io::Result<ExitStatus> {
-        timeout(most, self.child.wait()).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+    /// Fails if the process does not end within `time_limit` or cannot be waited for.
+    pub async fn wait_exit(&mut self, time_limit: Duration) -> io::Result<ExitStatus> {
+        timeout(time_limit, self.child.wait()).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
-    /// The folder that it was given.
+    /// Returns the folder of the process.
     pub fn folder(&self) -> &std::path::Path {
         &self.setup.folder
     }
 
-    /// Its process.
+    /// Returns the process id, unless the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 }
 
-/// Whether a forwarder answers that it is ready.
+/// Returns whether a forwarder answers that it is ready.
 pub async fn is_ready(addr: SocketAddr) -> bool {
-    let asked = async {
-        let mut wire = Wire::new(TcpStream::connect(addr).await.ok()?);
-        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.ok()?;
-        wire.read().await.ok()?.status()
+    let status = async {
+        let mut connection = Connection::new(TcpStream::connect(addr).await.ok()?);
+        connection.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.ok()?;
+        connection.read().await.ok()?.status()
     };
-    timeout(Duration::from_secs(1), asked).await.ok().flatten() == Some(200)
+    timeout(Duration::from_secs(1), status).await.ok().flatten() == Some(200)
 }
 
 fn spawn(setup: &Setup) -> io::Result<Child> {
     let log = std::fs::File::options().append(true).create(true).open(setup.folder.join("log"))?;
-    // The shell's own limits: at that of files writes stop short, then fail.
-    let files = setup.max_file_bytes.map(|most| format!("trap '' XFSZ; ulimit -f {}; ", most / 512));
-    let descriptors = setup.max_descriptors.map(|most| format!("ulimit -n {most}; "));
-    let limits: String = files.into_iter().chain(descriptors).collect();
+    // Limits set by the shell: a write that reaches the file size limit is cut short, and the next fails.
+    let file_size = setup.max_file_bytes.map(|max| format!("trap '' XFSZ; ulimit -f {}; ", max / 512));
+    let descriptors = setup.max_descriptors.map(|max| format!("ulimit -n {max}; "));
+    let limits: String = file_size.into_iter().chain(descriptors).collect();
     let mut command = match limits.is_empty() {
         true => Command::new(&setup.program),
         false => {
--- a/crates/standins/src/rng.rs
+++ b/crates/standins/src/rng.rs
@@ -1,7 +1,7 @@
-//! Chance that a seed repeats.
+//! Random numbers that are reproducible from a seed.
 
-/// ChaCha with 8 rounds: its draws from a seed are the same on every machine and in every later version, so that a
-/// seed that failed once can be replayed.
+/// The ChaCha generator with 8 rounds: its values for a seed are the same on every machine and in every later
+/// version, so that a seed that failed once can be replayed.
 ///
 /// ```
 /// use rand::{RngExt, SeedableRng};
--- a/crates/standins/tests/written_form.rs
+++ b/crates/standins/tests/written_form.rs
@@ -1,5 +1,5 @@
-//! The written (JSON) form of ledgers, outage parameters and faults, which `rig` prints and scripts store: Rust names may
-//! change, the written ones must not.
+//! The written (JSON) form of ledgers, outage parameters and faults, which `rig` prints and scripts store:
+//! Rust names may change, the written ones must not.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -41,8 +41,8 @@
 
 #[test]
 fn keeps_the_written_names_of_fleet_events() {
-    let claim = json!({"who": 1, "span": [1, 2], "standing": "majority", "acts": true, "serves": [true, true, false],
-        "view": "v", "voters": [0], "there": [1], "states": ["alive"], "senders": 2, "boots": [3]});
+    let claim = json!({"who": 1, "span": [1, 2], "standing": "majority", "acts": true,
+        "serves": [true, true, false], "view": "v", "voters": [0], "there": [1], "states": ["alive"], "senders": 2, "boots": [3]});
     let events = json!([
         {"Started": 0},
         {"Ended": 0},
