--- /dev/null
+++ b/crates/checker/src/outages.rs
@@ -0,0 +1,197 @@
+//! Judges the calls that reach a destination during an outage that affects all processes, and during its
+//! warm-up after it.
+
+use crate::fleet::{FleetBreach, FleetEntry, FleetEvent, FleetParams, judge_limit};
+use serde::{Deserialize, Serialize};
+
+/// Parameters for judging a destination that was down.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct ColdStart {
+    /// Time after which all processes know of an outage.
+    #[serde(rename = "found")]
+    pub detect_ms: f64,
+    /// Share of its capacity that the destination has right after the outage.
+    #[serde(rename = "start")]
+    pub start_capacity: f64,
+    /// Time after the outage at which the destination has its full capacity.
+    #[serde(rename = "warm")]
+    pub warm_up_ms: f64,
+    /// Interval at which one process may probe the destination during the outage.
+    #[serde(rename = "tries")]
+    pub probe_interval_ms: f64,
+    /// Allowance for the lateness of the rig's clocks.
+    #[serde(rename = "late")]
+    pub clock_slack_ms: f64,
+}
+
+impl ColdStart {
+    /// Returns the integral of the destination's capacity share over the first `elapsed` ms after the outage
+    /// (in ms of full capacity).
+    fn capacity_integral(&self, elapsed: f64) -> f64 {
+        let cold = elapsed.clamp(0.0, self.warm_up_ms);
+        self.start_capacity * cold
+            + (1.0 - self.start_capacity) * cold * cold / (2.0 * self.warm_up_ms)
+            + (elapsed - cold).max(0.0)
+    }
+}
+
+/// An outage and the calls that reached the destination during and after it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutageReport {
+    /// The destination.
+    pub dest: u64,
+    /// When the destination went down and when it was back (ms since the start of the run).
+    pub window_ms: [f64; 2],
+    /// Calls that reached the destination while it was down, after all processes could know of it.
+    pub calls_while_down: usize,
+    /// Number of such calls that are allowed.
+    pub allowed_while_down: f64,
+    /// Highest number of calls beyond the capacity over any period of the warm-up.
+    pub excess: f64,
+    /// Number of calls beyond the capacity that are allowed.
+    pub allowed_excess: f64,
+    /// Time from the end of the outage until nine tenths of what the limit allows came within half a second
+    /// (ms), if that happened.
+    pub full_use_ms: Option<f64>,
+}
+
+/// Measures the calls around each outage of a ledger, where the load offered to all destinations reaches
+/// their limit.
+pub fn judge_outages(params: &FleetParams, size: usize, ledger: &[FleetEntry]) -> Vec<OutageReport> {
+    let limit = judge_limit(params, ledger).max_limit;
+    let mut reports = Vec::new();
+    for (n, entry) in ledger.iter().enumerate() {
+        let FleetEvent::Outage { dest, back: false } = entry.event else { continue };
+        let end = ledger[n..].iter().find(|e| e.event == FleetEvent::Outage { dest, back: true });
+        let Some(back) = end.map(|e| e.at) else { continue };
+        let calls: Vec<f64> = ledger[n..]
+            .iter()
+            .filter(|e| matches!(e.event, FleetEvent::Began { dest: to, .. } if to == dest))
+            .map(|e| e.at)
+            .collect();
+        let known = entry.at + params.recovery.detect_ms;
+        let calls_while_down = calls.iter().filter(|at| (known..back).contains(*at)).count();
+        // One process probes in each interval. Half as many more are allowed for the others, which probe for
+        // themselves now and then or begin a call before the report reaches them.
+        let allowed_while_down =
+            size as f64 + (back - known).max(0.0) / params.recovery.probe_interval_ms * 1.5;
+        let cold: Vec<f64> = calls
+            .iter()
+            .copied()
+            .filter(|at| (back..back + params.recovery.warm_up_ms).contains(at))
+            .collect();
+        let (mut lowest, mut excess) = (f64::INFINITY, 0.0f64);
+        for (n, at) in cold.iter().enumerate() {
+            let capacity = params.recovery.capacity_integral(at - back) / 1000.0 * limit;
+            lowest = lowest.min(n as f64 - capacity);
+            excess = excess.max((n + 1) as f64 - capacity - lowest);
+        }
+        // One call that each process has accumulated, a tenth of a second of the limit, two probes, and one
+        // call for processes that learn of the return late and so start their ramp late.
+        let allowed_excess = size as f64 + limit * (0.1 + params.recovery.clock_slack_ms / 1000.0) + 3.0;
+        let full_use = calls.iter().filter(|at| **at >= back).find(|from| {
+            let within = calls.iter().filter(|at| (**from..**from + 500.0).contains(*at)).count();
+            within as f64 >= 0.9 * limit / 2.0
+        });
+        reports.push(OutageReport {
+            dest,
+            window_ms: [entry.at, back],
+            calls_while_down,
+            allowed_while_down,
+            excess,
+            allowed_excess,
+            full_use_ms: full_use.map(|at| at - back),
+        });
+    }
+    reports
+}
+
+/// Where all processes are well connected, one of them probes a destination that is down, and after the
+/// outage all together send no more than its ramp allows.
+pub(crate) fn check_outages(
+    params: &FleetParams,
+    size: usize,
+    ledger: &[FleetEntry],
+    breaches: &mut Vec<FleetBreach>,
+) {
+    let impaired = |e: &FleetEntry| {
+        matches!(e.event, FleetEvent::Link { open: false, .. } | FleetEvent::LinkQuality { degraded: true })
+    };
+    let partitioned = ledger.iter().any(impaired);
+    for OutageReport {
+        dest,
+        window_ms: [_, back],
+        calls_while_down,
+        allowed_while_down,
+        excess,
+        allowed_excess,
+        ..
+    } in judge_outages(params, size, ledger)
+    {
+        // On each side of a cut one process probes, and each side follows a ramp of its own.
+        let sides = if partitioned { 2.0 } else { 1.0 };
+        let allowed = allowed_while_down * sides;
+        if calls_while_down as f64 > allowed {
+            let text = format!(
+                "{calls_while_down} calls reached {dest} while it was down, {allowed:.1} are allowed"
+            );
+            breaches.push(FleetBreach { at: back, text });
+        }
+        let allowed = allowed_excess * sides;
+        if excess > allowed {
+            let text = format!(
+                "{excess:.1} calls beyond the capacity of {dest} when it is back, {allowed:.1} are allowed"
+            );
+            breaches.push(FleetBreach { at: back, text });
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use crate::fleet::{TERMS, judge_fleet};
+
+    fn ledger(calls: &[f64]) -> Vec<FleetEntry> {
+        let outage = |at, back| FleetEntry { at, event: FleetEvent::Outage { dest: 7, back } };
+        let mut ledger = vec![
+            FleetEntry { at: 0.0, event: FleetEvent::Limit { calls_per_sec: 100.0 } },
+            outage(1000.0, false),
+            outage(5000.0, true),
+        ];
+        ledger.extend(
+            calls.iter().map(|at| FleetEntry { at: *at, event: FleetEvent::Began { from: 0, dest: 7 } }),
+        );
+        ledger.sort_by(|a, b| a.at.total_cmp(&b.at));
+        ledger
+    }
+
+    #[test]
+    fn reports_calls_during_an_outage_and_beyond_the_ramp() {
+        let found = |calls: &[f64]| {
+            judge_fleet(&TERMS, 2, &ledger(calls)).into_iter().map(|b| b.text).collect::<Vec<_>>()
+        };
+        // All calls before the processes can know of the outage, and then one in each probe interval.
+        let few: Vec<f64> = (0..20)
+            .map(|n| 1000.0 + 200.0 * f64::from(n))
+            .filter(|at| *at < 2000.0 || at % 400.0 == 0.0)
+            .collect();
+        assert_eq!(found(&few), Vec::<String>::new());
+        let many: Vec<f64> = (0..60).map(|n| 2000.0 + 50.0 * f64::from(n)).collect();
+        assert!(found(&many)[0].contains("while it was down"));
+        // A hundred calls a second at once, where the capacity starts at a fifth of that: 100 x (2 - 1.2)
+        // beyond the capacity within two seconds.
+        let all: Vec<f64> = (0..200).map(|n| 5000.0 + 10.0 * f64::from(n)).collect();
+        assert!(found(&all)[0].contains("when it is back"), "{:?}", found(&all));
+        // Calls along the ramp: exactly the capacity.
+        let mut at = 5000.0;
+        let mut ramp = Vec::new();
+        while at < 7000.0 {
+            ramp.push(at);
+            at += 10.0 / (0.2 + 0.8 * (at - 5000.0) / 2000.0);
+        }
+        assert_eq!(found(&ramp), Vec::<String>::new());
+        let reports = judge_outages(&TERMS, 2, &ledger(&ramp));
+        assert!(reports[0].excess < 3.0, "{reports:?}");
+    }
+}
