--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: parsing, translation to [`yarrowhill_policy::api`], and hosting of many instances.
-//! Nothing is decided here.
+//! The simulator's wire protocol: parsing, translation to [`yarrowhill_policy::api`], and hosting of many
+//! instances of the decision module. No decisions are made here.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
@@ -11,7 +11,7 @@
     FieldError, Fields, MAX_TIME_US, Names, from_fields, index_of, parse_limit_report,
 };
 
-/// Why serving the wire ended before its end of input.
+/// An error that ends serving before the end of input.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A malformed line.
@@ -20,55 +20,61 @@
     /// Input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The decision code panicked; the wire has been told.
-    #[error("the decision code panicked")]
+    /// The decision module panicked, as already reported on the wire.
+    #[error("the decision module panicked")]
     Panicked,
 }
 
-struct Held {
+/// An open message, or one whose attempts have not all ended.
+struct OpenMessage {
     wire_id: String,
-    out: usize,
+    in_flight: usize,
     sent: usize,
-    over: bool,
+    ended: bool,
 }
 
-/// One sender and the names it goes by on the wire.
+/// An instance of the decision module, with the names and ids that the wire uses.
 struct Instance {
     balancer: Balancer,
     names: Names,
     ids: HashMap<String, MessageId>,
-    held: BTreeMap<MessageId, Held>,
-    next: MessageId,
+    messages: BTreeMap<MessageId, OpenMessage>,
+    next_id: MessageId,
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// Forgets a message once it is over and no attempt of it is out.
-    fn settle(&mut self, id: MessageId) {
-        if let Some(h) = self.held.get(&id)
-            && h.over
-            && h.out == 0
+    /// Removes a message if it has ended and no attempt of it is in flight.
+    fn remove_if_done(&mut self, id: MessageId) {
+        if let Some(message) = self.messages.get(&id)
+            && message.ended
+            && message.in_flight == 0
         {
-            self.ids.remove(&h.wire_id);
-            self.held.remove(&id);
+            self.ids.remove(&message.wire_id);
+            self.messages.remove(&id);
         }
     }
 
+    /// Marks a message as ended.
     fn close(&mut self, id: MessageId) {
-        if let Some(h) = self.held.get_mut(&id) {
-            h.over = true;
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.ended = true;
         }
-        self.settle(id);
+        self.remove_if_done(id);
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, FieldError> {
-        let Some(row) = f.get("healthInfo").filter(|r| !r.is_empty() && *r != "-") else { return Ok(None) };
-        let values = self.names.report_fields.iter().map(String::as_str).zip(row.split(','));
+    /// Reads the limit reported in an event, if there is one.
+    fn report(&self, fields: &Fields) -> Result<Option<LimitReport>, FieldError> {
+        let Some(text) = fields.get("healthInfo").filter(|t| !t.is_empty() && *t != "-") else {
+            return Ok(None);
+        };
+        let values = self.names.report_fields.iter().map(String::as_str).zip(text.split(','));
         parse_limit_report(values)
             .map(Some)
-            .ok_or_else(|| f.error("healthInfo", format!("cannot read {row:?}")))
+            .ok_or_else(|| fields.error("healthInfo", format!("cannot read {text:?}")))
     }
 
+    /// Writes the pending actions to the reply.
     fn write(&mut self, number: u64, out: &mut String) {
         for action in std::mem::take(&mut self.actions) {
             let id = match action {
@@ -78,12 +84,12 @@
                 | Action::Cancel { id, .. } => id,
                 _ => MessageId::MAX,
             };
-            let wire_id = self.held.get(&id).map(|h| h.wire_id.clone()).unwrap_or_default();
-            let done = match action {
+            let wire_id = self.messages.get(&id).map(|m| m.wire_id.clone()).unwrap_or_default();
+            let written = match action {
                 Action::Send { endpoint, timeout, .. } => {
-                    if let Some(h) = self.held.get_mut(&id) {
-                        h.out += 1;
-                        h.sent += 1;
+                    if let Some(message) = self.messages.get_mut(&id) {
+                        message.in_flight += 1;
+                        message.sent += 1;
                     }
                     let allow = ms(timeout);
                     write!(out, "PASS_ON forwarder={number} ref={wire_id} target={endpoint} allowFor={allow}")
@@ -103,7 +109,7 @@
                 }
                 Action::Subscribe => write!(out, "SUBSCRIBE forwarder={number} want=1"),
             };
-            done.and_then(|()| out.write_char('\n')).expect("writing to a string does not fail");
+            written.and_then(|()| out.write_char('\n')).expect("writing to a string does not fail");
             if matches!(action, Action::Refuse { .. } | Action::Fail { .. }) {
                 self.close(id);
             }
@@ -111,16 +117,17 @@
     }
 }
 
-fn ms(t: Micros) -> f64 {
-    t as f64 / 1000.0
+fn ms(time: Micros) -> f64 {
+    time as f64 / 1000.0
 }
 
-fn outcome(f: &Fields, field: &str) -> Result<Outcome, FieldError> {
-    Ok(match f.required_int(field)? {
+/// Reads the outcome of an attempt.
+fn outcome(fields: &Fields, field: &str) -> Result<Outcome, FieldError> {
+    Ok(match fields.required_int(field)? {
         0 => Outcome::Delivered,
         255 => Outcome::Error,
         254 => Outcome::Full {
-            wait: f
+            wait: fields
                 .number("detail")?
                 .filter(|w| *w > 0.0)
                 .map(|w| (w.min(MAX_TIME_US / 1e3) * 1e3) as Micros),
@@ -130,11 +137,11 @@
         251 => Outcome::Reset,
         250 => Outcome::Cancelled,
         249 => Outcome::NotSent,
-        v => return Err(f.error(field, format!("unknown outcome {v}"))),
+        v => return Err(fields.error(field, format!("unknown outcome {v}"))),
     })
 }
 
-/// A line of a catalog, before an instance has put its own numbers to the names.
+/// A line of a catalog, with the names that each instance maps to its own numbers.
 struct Row {
     endpoint: EndpointId,
     dest: DestId,
@@ -144,81 +151,87 @@
     weight: f64,
 }
 
-/// Hosts the instances of one process.
+/// The instances hosted by this process.
 #[derive(Default)]
 struct Host {
     now: Micros,
     instances: BTreeMap<u64, Instance>,
-    sheets: BTreeMap<u64, Vec<Row>>,
-    /// Sheet that `ROW` lines belong to and how many are still to come.
+    catalogs: BTreeMap<u64, Vec<Row>>,
+    /// Catalog that `ROW` lines belong to, and the number of those still to come.
     reading: Option<(u64, u64)>,
-    touched: Vec<u64>,
+    /// Instances with events in this frame, in the order of their first event.
+    active: Vec<u64>,
 }
 
 impl Host {
-    fn event(&mut self, name: &str, f: &Fields) -> Result<(), FieldError> {
+    /// Passes the event of a line to the instance that it names.
+    fn event(&mut self, name: &str, fields: &Fields) -> Result<(), FieldError> {
         match name {
             "CATALOG" => {
-                let sheet = f.required_int("sheet")?;
-                self.sheets.insert(sheet, Vec::new());
-                self.reading = Some((sheet, f.required_int("entries")?));
+                let sheet = fields.required_int("sheet")?;
+                self.catalogs.insert(sheet, Vec::new());
+                self.reading = Some((sheet, fields.required_int("entries")?));
                 return Ok(());
             }
-            "ROW" => return self.row(f),
-            "BOOT" => return self.boot(f),
+            "ROW" => return self.row(fields),
+            "BOOT" => return self.boot(fields),
             "EXIT" => {
-                let number = f.required_int("forwarder")?;
+                let number = fields.required_int("forwarder")?;
                 self.instances.remove(&number);
-                self.touched.retain(|n| *n != number);
+                self.active.retain(|n| *n != number);
                 return Ok(());
             }
             "SUBMIT" | "UNDER_WAY" | "RETURNED" | "CLIENT_LEFT" | "RING" | "ENDPOINTS" => {}
             _ => return Ok(()),
         }
-        let number = f.required_int("forwarder")?;
-        let Some(inst) = self.instances.get_mut(&number) else {
-            return Err(f.error("forwarder", format!("no instance {number}")));
+        let number = fields.required_int("forwarder")?;
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Err(fields.error("forwarder", format!("no instance {number}")));
         };
-        if !self.touched.contains(&number) {
-            self.touched.push(number);
+        if !self.active.contains(&number) {
+            self.active.push(number);
         }
-        let known = |inst: &Instance| -> Result<Option<MessageId>, FieldError> {
-            Ok(inst.ids.get(f.required("ref")?).copied())
+        let find = |instance: &Instance| -> Result<Option<MessageId>, FieldError> {
+            Ok(instance.ids.get(fields.required("ref")?).copied())
         };
-        let mut closes = None;
+        let mut may_remove = None;
         let event = match name {
             "SUBMIT" => {
-                let class = f.required("priority")?;
-                let class = index_of(&inst.names.classes, class)
-                    .ok_or_else(|| f.error("priority", format!("unknown class {class:?}")))?;
+                let class = fields.required("priority")?;
+                let class = index_of(&instance.names.classes, class)
+                    .ok_or_else(|| fields.error("priority", format!("unknown class {class:?}")))?;
                 let event = Event::Submit(SubmittedMessage {
-                    id: inst.next,
+                    id: instance.next_id,
                     class,
-                    tenant: f.get("clientGroup").and_then(|t| index_of(&inst.names.tenants, t)),
-                    key: f.get("partitionKey").filter(|k| !k.is_empty()).map(str::to_owned),
-                    expires_at: f.time("giveUpAt")?.ok_or_else(|| f.error("giveUpAt", "missing"))?,
-                    dest: f.required_int("calledNode")?,
+                    tenant: fields.get("clientGroup").and_then(|t| index_of(&instance.names.tenants, t)),
+                    key: fields.get("partitionKey").filter(|k| !k.is_empty()).map(str::to_owned),
+                    expires_at: fields
+                        .time("giveUpAt")?
+                        .ok_or_else(|| fields.error("giveUpAt", "missing"))?,
+                    dest: fields.required_int("calledNode")?,
                     history: MessageHistory::default(),
                 });
-                let wire_id = f.required("ref")?.to_owned();
-                inst.ids.insert(wire_id.clone(), inst.next);
-                inst.held.insert(inst.next, Held { wire_id, out: 0, sent: 0, over: false });
-                inst.next += 1;
+                let wire_id = fields.required("ref")?.to_owned();
+                instance.ids.insert(wire_id.clone(), instance.next_id);
+                instance
+                    .messages
+                    .insert(instance.next_id, OpenMessage { wire_id, in_flight: 0, sent: 0, ended: false });
+                instance.next_id += 1;
                 event
             }
             "RETURNED" => {
                 let (attempt, outcome, finished) =
-                    (f.required_int("go")? as usize, outcome(f, "how")?, f.flag("finished")?);
-                let elapsed = f.time("elapsed")?.unwrap_or(0);
-                let report = inst.report(f)?;
-                let Some(id) = known(inst)? else { return Ok(()) };
-                let held = inst.held.get_mut(&id).expect("ids and held go together");
-                if attempt >= held.sent {
-                    return Err(f.error("go", format!("attempt {attempt} was never sent")));
+                    (fields.required_int("go")? as usize, outcome(fields, "how")?, fields.flag("finished")?);
+                let elapsed = fields.time("elapsed")?.unwrap_or(0);
+                let report = instance.report(fields)?;
+                let Some(id) = find(instance)? else { return Ok(()) };
+                let message = instance.messages.get_mut(&id).expect("every id has a message");
+                if attempt >= message.sent {
+                    return Err(fields.error("go", format!("attempt {attempt} was never sent")));
                 }
-                held.out = held.out.saturating_sub(1);
-                held.over |= finished;
-                closes = Some(id);
+                message.in_flight = message.in_flight.saturating_sub(1);
+                message.ended |= finished;
+                may_remove = Some(id);
                 Event::AttemptEnded(EndedAttempt {
                     id,
                     attempt,
@@ -229,37 +242,37 @@
                     wait: None,
                 })
             }
-            "UNDER_WAY" => match known(inst)? {
+            "UNDER_WAY" => match find(instance)? {
                 Some(id) => Event::ResponseStarted { id },
                 None => return Ok(()),
             },
-            "CLIENT_LEFT" => match known(inst)? {
+            "CLIENT_LEFT" => match find(instance)? {
                 Some(id) => {
-                    inst.held.get_mut(&id).expect("ids and held go together").over = true;
-                    closes = Some(id);
+                    instance.messages.get_mut(&id).expect("every id has a message").ended = true;
+                    may_remove = Some(id);
                     Event::ClientDisconnected { id }
                 }
                 None => return Ok(()),
             },
             "RING" => Event::Wake,
             _ => {
-                let mode = f.required("mode")?;
+                let mode = fields.required("mode")?;
                 let entries = || -> Result<Vec<EndpointEntry>, FieldError> {
-                    let sheet = f.required_int("sheet")?;
+                    let sheet = fields.required_int("sheet")?;
                     let rows = self
-                        .sheets
+                        .catalogs
                         .get(&sheet)
-                        .ok_or_else(|| f.error("sheet", format!("no catalog numbered {sheet}")))?;
-                    let number = |names: &[String], name: &str| index_of(names, name).unwrap_or(usize::MAX);
+                        .ok_or_else(|| fields.error("sheet", format!("no catalog numbered {sheet}")))?;
+                    let index = |names: &[String], name: &str| index_of(names, name).unwrap_or(usize::MAX);
                     Ok(rows
                         .iter()
-                        .map(|r| EndpointEntry {
-                            endpoint: r.endpoint,
-                            dest: r.dest,
-                            zone: number(&inst.names.zones, &r.zone),
-                            kind: number(&inst.names.kinds, &r.kind),
-                            listing: r.listing,
-                            weight: r.weight,
+                        .map(|row| EndpointEntry {
+                            endpoint: row.endpoint,
+                            dest: row.dest,
+                            zone: index(&instance.names.zones, &row.zone),
+                            kind: index(&instance.names.kinds, &row.kind),
+                            listing: row.listing,
+                            weight: row.weight,
                         })
                         .collect())
                 };
@@ -267,75 +280,77 @@
                     "patch" => Event::ListChanges(entries()?),
                     "whole" | "stale_copy" => Event::FullList(entries()?),
                     "broken" => Event::SubscriptionFailed,
-                    v => return Err(f.error("mode", format!("unknown mode {v:?}"))),
+                    v => return Err(fields.error("mode", format!("unknown mode {v:?}"))),
                 }
             }
         };
-        inst.balancer.on_event(self.now, event, &mut inst.actions);
-        if let Some(id) = closes {
-            // Ids that the module answers in this turn stay until the reply is written.
-            if !inst.actions.iter().any(|a| {
+        instance.balancer.on_event(self.now, event, &mut instance.actions);
+        if let Some(id) = may_remove {
+            // A message with an action in this turn is kept until the reply is written.
+            if !instance.actions.iter().any(|a| {
                 matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } | Action::Send { id: i, .. }
                     if *i == id)
             }) {
-                inst.settle(id);
+                instance.remove_if_done(id);
             }
         }
         Ok(())
     }
 
-    fn row(&mut self, f: &Fields) -> Result<(), FieldError> {
+    fn row(&mut self, fields: &Fields) -> Result<(), FieldError> {
         let Some((sheet, left)) = self.reading.filter(|(_, left)| *left > 0) else {
-            return Err(f.error("ROW", "no catalog has room for it"));
+            return Err(fields.error("ROW", "no catalog expects another row"));
         };
         let row = Row {
-            endpoint: f.required_int("target")?,
-            dest: f.required_int("belongsTo")?,
-            zone: f.get("site").unwrap_or_default().to_owned(),
-            kind: f.get("flavor").unwrap_or_default().to_owned(),
-            listing: match f.required("availability")? {
+            endpoint: fields.required_int("target")?,
+            dest: fields.required_int("belongsTo")?,
+            zone: fields.get("site").unwrap_or_default().to_owned(),
+            kind: fields.get("flavor").unwrap_or_default().to_owned(),
+            listing: match fields.required("availability")? {
                 "SERVING" => Listing::Serving,
                 "DRAINING" => Listing::Draining,
                 "DELETED" => Listing::Deleted,
-                v => return Err(f.error("availability", format!("unknown state {v:?}"))),
+                v => return Err(fields.error("availability", format!("unknown state {v:?}"))),
             },
-            weight: f.number("scale")?.unwrap_or(1.0),
+            weight: fields.number("scale")?.unwrap_or(1.0),
         };
-        self.sheets.entry(sheet).or_default().push(row);
+        self.catalogs.entry(sheet).or_default().push(row);
         self.reading = Some((sheet, left - 1));
         Ok(())
     }
 
-    fn boot(&mut self, f: &Fields) -> Result<(), FieldError> {
-        let number = f.required_int("forwarder")?;
-        let seed = f.required_int("nonce64")?;
-        let conf = Fields { line: f.line, pairs: f.pairs.clone() };
-        let (settings, names) = from_fields(conf)?;
+    fn boot(&mut self, fields: &Fields) -> Result<(), FieldError> {
+        let number = fields.required_int("forwarder")?;
+        let seed = fields.required_int("nonce64")?;
+        let copy = Fields { line: fields.line, pairs: fields.pairs.clone() };
+        let (settings, names) = from_fields(copy)?;
         let instance = Instance {
             balancer: Balancer::new(settings, seed),
             names,
             ids: HashMap::new(),
-            held: BTreeMap::new(),
-            next: 0,
+            messages: BTreeMap::new(),
+            next_id: 0,
             actions: Vec::new(),
         };
         self.instances.insert(number, instance);
-        if !self.touched.contains(&number) {
-            self.touched.push(number);
+        if !self.active.contains(&number) {
+            self.active.push(number);
         }
         Ok(())
     }
 
+    /// Ends the turn of all active instances, and writes their actions.
     fn reply(&mut self, out: &mut String) {
-        for number in std::mem::take(&mut self.touched) {
-            if let Some(inst) = self.instances.get_mut(&number) {
-                inst.balancer.on_event(self.now, Event::TurnEnd, &mut inst.actions);
-                inst.write(number, out);
+        for number in std::mem::take(&mut self.active) {
+            if let Some(instance) = self.instances.get_mut(&number) {
+                instance.balancer.on_event(self.now, Event::TurnEnd, &mut instance.actions);
+                instance.write(number, out);
             }
         }
     }
 }
 
+/// Returns the message of a panic, on one line.
 fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
     let text = cause
         .downcast_ref::<String>()
@@ -346,44 +361,48 @@
 }
 
 /// Serves the wire until the end of input.
+///
+/// # Errors
+///
+/// Fails on a malformed line, if input or output fails, or if the decision module panics.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = Host::default();
     let mut in_frame = false;
-    let mut last = 0;
+    let mut last_number = 0;
     for (i, line) in input.lines().enumerate() {
         let line = line?;
-        let at = i as u64 + 1;
+        let line_number = i as u64 + 1;
         let line = line.trim_end_matches('\r');
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         if name.is_empty() {
             continue;
         }
-        let fields = Fields::parse(at, rest)?;
+        let fields = Fields::parse(line_number, rest)?;
         if name == "FRAME" {
             if in_frame {
-                return Err(fields.error("FRAME", "the last batch has not been closed").into());
+                return Err(fields.error("FRAME", "the previous frame has not ended").into());
             }
             host.now = fields.time("time")?.ok_or_else(|| fields.error("time", "missing"))?;
             in_frame = true;
             continue;
         }
         if !in_frame {
-            return Err(fields.error(name, "outside a batch").into());
+            return Err(fields.error(name, "outside a frame").into());
         }
         let mut out = String::new();
-        let over = name == "OVER_TO_YOU";
-        let done = catch_unwind(AssertUnwindSafe(|| {
-            if over {
+        let ends_frame = name == "OVER_TO_YOU";
+        let caught = catch_unwind(AssertUnwindSafe(|| {
+            if ends_frame {
                 host.reply(&mut out);
                 Ok(())
             } else {
                 host.event(name, &fields)
             }
         }));
-        match done {
+        match caught {
             Ok(result) => result?,
             Err(cause) => {
-                let number = fields.required_int("forwarder").unwrap_or(last);
+                let number = fields.required_int("forwarder").unwrap_or(last_number);
                 let text = panic_text(cause.as_ref());
                 write!(output, "INTERNAL_ERROR forwarder={number} msg={text}\nOK\n")?;
                 output.flush()?;
@@ -391,9 +410,9 @@
             }
         }
         if let Ok(number) = fields.required_int("forwarder") {
-            last = number;
+            last_number = number;
         }
-        if over {
+        if ends_frame {
             out.push_str("OK\n");
             output.write_all(out.as_bytes())?;
             output.flush()?;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the decision module on the simulator's wire, on standard input and output.
+//! Hosts instances of the decision module on the simulator's wire protocol, over standard input and output.
 
 use std::io::{BufReader, BufWriter, stdin, stdout};
 use std::process::ExitCode;
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter, with scripted frames.
+//! Tests of the adapter with scripted frames.
 
 use yarrowhill_adapter::{ServeError, serve};
 
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn answers_an_empty_frame_with_an_empty_reply() {
     let (out, result) = run(&[frame(8.25, "")]);
     result.unwrap();
     assert_eq!(out, "OK\n");
 }
 
 #[test]
-fn a_message_goes_out_and_an_unsafe_one_that_may_have_run_is_given_up() {
+fn sends_an_unsafe_message_once_and_fails_it_after_it_may_have_run() {
     let end =
         "RETURNED forwarder=3 ref=r1 go=0 target=515 how=255 elapsed=10.0 finished=0 healthInfo=0.4,1.25";
     let (out, result) =
@@ -60,26 +60,26 @@
 }
 
 #[test]
-fn unknown_events_ids_and_keys_are_passed_over() {
-    let odd = "NEWS forwarder=3 what=ever\nCLIENT_LEFT forwarder=3 ref=nobody\nRING forwarder=3 handle=9";
-    let (out, result) = run(&[boot(), frame(1001.0, odd)]);
+fn ignores_unknown_events_ids_and_keys() {
+    let unknown = "NEWS forwarder=3 what=ever\nCLIENT_LEFT forwarder=3 ref=nobody\nRING forwarder=3 handle=9";
+    let (out, result) = run(&[boot(), frame(1001.0, unknown)]);
     result.unwrap();
     assert_eq!(out.lines().filter(|l| *l == "OK").count(), 2);
 }
 
 #[test]
-fn after_exit_and_boot_nothing_of_the_old_life_is_left() {
-    let again = format!("EXIT forwarder=3\n{BOOT}\nENDPOINTS forwarder=3 serial=1 mode=whole sheet=0");
+fn keeps_nothing_of_an_instance_after_exit_and_boot() {
+    let restart = format!("EXIT forwarder=3\n{BOOT}\nENDPOINTS forwarder=3 serial=1 mode=whole sheet=0");
     let end = "RETURNED forwarder=3 ref=r1 go=0 target=515 how=253 elapsed=10.0 finished=0";
     let (out, result) =
-        run(&[boot(), frame(1001.0, &submit("r1", "order")), frame(1005.0, &again), frame(1010.0, end)]);
+        run(&[boot(), frame(1001.0, &submit("r1", "order")), frame(1005.0, &restart), frame(1010.0, end)]);
     result.unwrap();
     assert!(!out.contains("GIVE_UP"), "{out}");
 }
 
 #[test]
-fn two_instances_decide_as_one_does_alone() {
-    let two = |text: &str| format!("{text}\n{}", text.replace("forwarder=3", "forwarder=4"));
+fn two_instances_decide_like_a_single_one() {
+    let for_both = |text: &str| format!("{text}\n{}", text.replace("forwarder=3", "forwarder=4"));
     let frames = [
         frame(
             1000.0,
@@ -89,20 +89,20 @@
                 LIST.replace("forwarder=3", "forwarder=4")
             ),
         ),
-        frame(1001.0, &two(&submit("r1", "note"))),
+        frame(1001.0, &for_both(&submit("r1", "note"))),
     ];
     let (out, result) = run(&frames);
     result.unwrap();
-    let of = |n: u32| -> Vec<String> {
+    let actions_of = |n: u32| -> Vec<String> {
         let tag = format!("forwarder={n} ");
         out.lines().filter(|l| l.contains(&tag)).map(|l| l.replace(&tag, "")).collect()
     };
-    assert!(of(3).iter().any(|l| l.starts_with("PASS_ON")), "{out}");
-    assert_eq!(of(3).len(), of(4).len());
+    assert!(actions_of(3).iter().any(|l| l.starts_with("PASS_ON")), "{out}");
+    assert_eq!(actions_of(3).len(), actions_of(4).len());
 }
 
 #[test]
-fn malformed_lines_are_named_with_their_field() {
+fn reports_line_and_field_of_malformed_lines() {
     let cases = [
         (submit("r1", "note").replace("17000.0", "soon"), "line 6: field giveUpAt"),
         (submit("r1", "note").replace("giveUpAt=17000.0 ", ""), "line 6: field giveUpAt: missing"),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_program_exits_with_an_error_on_a_malformed_line() {
+fn exits_with_failure_on_a_malformed_line() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_yarrowhill-adapter"))
@@ -134,7 +134,7 @@
         .spawn()
         .unwrap();
     child.stdin.take().unwrap().write_all(b"FRAME time=x\n").unwrap();
-    let done = child.wait_with_output().unwrap();
-    assert!(!done.status.success());
-    assert!(String::from_utf8_lossy(&done.stderr).contains("line 1: field time"));
+    let output = child.wait_with_output().unwrap();
+    assert!(!output.status.success());
+    assert!(String::from_utf8_lossy(&output.stderr).contains("line 1: field time"));
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,58 +1,70 @@
-//! Fields of one line of text, `name=value`, and typed reading of them.
+//! The `name=value` fields of a line of text, and typed access to them.
 
 use yarrowhill_policy::api::Micros;
 
-/// Bound on times read from the wire, so that sums of a few of them cannot overflow.
+/// Bound on times read from the wire (microseconds), so that sums of a few of them cannot overflow.
 pub const MAX_TIME_US: f64 = (1i64 << 55) as f64;
 
-/// A malformed line, or a setting that can't be read.
+/// A malformed line, or a missing or malformed setting.
 #[derive(Debug, thiserror::Error)]
-#[error("{}{field}: {what}", place(*line))]
+#[error("{}{field}: {problem}", location(*line))]
 pub struct FieldError {
     line: u64,
     field: String,
-    what: String,
+    problem: String,
 }
 
-/// Settings from a document have a path in place of a line.
-fn place(line: u64) -> String {
+/// Returns the prefix of an error text. Settings from a document have a path in place of a line.
+fn location(line: u64) -> String {
     if line == 0 { String::new() } else { format!("line {line}: field ") }
 }
 
-/// The fields of one line.
+/// The fields of a line.
 pub struct Fields<'a> {
-    /// Number of the line, for errors; 0 where there are no lines.
+    /// Line number for errors; 0 if the fields do not come from a line.
     pub line: u64,
-    /// Name and value, in the order given.
+    /// Names and values, in the order given.
     pub pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads `name=value` pairs set apart by spaces.
+    /// Parses `name=value` pairs separated by spaces.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a part has no `=`.
     pub fn parse(line: u64, rest: &'a str) -> Result<Self, FieldError> {
         let mut pairs = Vec::new();
         for part in rest.split(' ').filter(|p| !p.is_empty()) {
             match part.split_once('=') {
                 Some(pair) => pairs.push(pair),
                 None => {
-                    return Err(FieldError { line, field: part.into(), what: "expected name=value".into() });
+                    return Err(FieldError {
+                        line,
+                        field: part.into(),
+                        problem: "expected name=value".into(),
+                    });
                 }
             }
         }
         Ok(Fields { line, pairs })
     }
 
-    /// The error that a field of this line is.
-    pub fn error(&self, field: &str, what: impl Into<String>) -> FieldError {
-        FieldError { line: self.line, field: field.into(), what: what.into() }
+    /// Returns an error about a field of this line.
+    pub fn error(&self, field: &str, problem: impl Into<String>) -> FieldError {
+        FieldError { line: self.line, field: field.into(), problem: problem.into() }
     }
 
-    /// The value of a field, if it is there.
+    /// Returns the value of a field, if it is present.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    /// The value of a field that must be there.
+    /// Returns the value of a required field.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is missing.
     pub fn required(&self, name: &str) -> Result<&'a str, FieldError> {
         self.get(name).ok_or_else(|| self.error(name, "missing"))
     }
@@ -63,12 +75,20 @@
             .transpose()
     }
 
-    /// A whole number that must be there.
+    /// Returns a required non-negative integer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is missing or not such a number.
     pub fn required_int(&self, name: &str) -> Result<u64, FieldError> {
         self.parsed(name)?.ok_or_else(|| self.error(name, "missing"))
     }
 
-    /// A finite number.
+    /// Returns a finite number, if the field is present.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is not a finite number.
     pub fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.parsed::<f64>(name)? {
             Some(v) if !v.is_finite() => Err(self.error(name, "expected a finite number")),
@@ -76,12 +96,21 @@
         }
     }
 
-    /// A time: milliseconds on the wire, microseconds here, bounded so that sums cannot overflow.
+    /// Returns a time, if the field is present: milliseconds on the wire, microseconds here, limited to
+    /// [`MAX_TIME_US`].
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is not a finite number.
     pub fn time(&self, name: &str) -> Result<Option<Micros>, FieldError> {
         Ok(self.number(name)?.map(|ms| (ms * 1000.0).round().clamp(-MAX_TIME_US, MAX_TIME_US) as Micros))
     }
 
-    /// A bool; absent is false.
+    /// Returns a boolean; false if the field is absent.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is neither true nor false.
     pub fn flag(&self, name: &str) -> Result<bool, FieldError> {
         match self.get(name) {
             None | Some("0" | "false") => Ok(false),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,10 +1,10 @@
-//! Nested settings beside the wire's.
+//! Tests of reading nested settings.
 
 use super::*;
 use yarrowhill_policy::api::Effect;
 
 #[test]
-fn nested_settings_are_read_as_the_wire_reads_them() {
+fn reads_nested_settings_like_those_of_the_wire() {
     let settings = serde_json::json!({
         "classes": [{"name": "auth-notice", "idempotency": "token", "dedupScope": "all",
                      "keyTtl": 15000.0, "goalTime": 3000.0, "deadline": 28000.0}],
@@ -17,7 +17,7 @@
     });
     let mut pairs = Vec::new();
     flatten("", &settings, &mut pairs);
-    let (read, names) = from_pairs(&pairs).expect("it is well formed");
+    let (read, names) = from_pairs(&pairs).expect("the settings are well formed");
     assert_eq!(read.classes[0].effect, Effect::Keyed { life: 15_000_000, per_zone: false });
     assert_eq!((read.classes[0].target_latency, read.slots, read.zone), (3_000_000, 15, 1));
     assert_eq!(
