--- a/crates/fleet/src/clock.rs
+++ b/crates/fleet/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of membership.
+//! The clock that membership, leases and limits run on.
 
 use rustix::time::{ClockId, clock_gettime};
 use yarrowhill_membership::Micros;
 
-/// Microseconds since the machine started. `CLOCK_BOOTTIME`: it never steps, and it goes on while the process is
-/// stopped and while the machine sleeps; `CLOCK_MONOTONIC` does not count sleep, and the wall clock steps.
+/// Returns the microseconds since the machine booted, from `CLOCK_BOOTTIME`: it never steps, and advances
+/// while the process is stopped and while the machine is suspended. `CLOCK_MONOTONIC` stands still during
+/// suspend, and the wall clock can step.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -1,4 +1,5 @@
-//! The control socket: a Unix socket with rights for its owner alone. One line of JSON each way, and that is all.
+//! The control socket: a Unix socket that only its owner may access. Each connection carries one request and
+//! one response, each a line of JSON.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -14,48 +15,49 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The longest question (bytes).
-const QUESTION_MOST: u64 = 64 << 10;
-/// The longest answer (bytes).
-const ANSWER_MOST: u64 = 8 << 20;
-/// Questions at once; others wait.
-const AT_ONCE: usize = 8;
-/// A question is read, and an answer written, within this.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// After a failure to accept, such as for want of descriptors.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum length of a request.
+const MAX_REQUEST_BYTES: u64 = 64 << 10;
+/// Maximum length of a response.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
+/// Maximum number of concurrent connections; further ones wait to be accepted.
+const MAX_CONNECTIONS: usize = 8;
+/// Time allowed for reading a request, and again for writing its response.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after `accept` failed, for example because the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why there is no answer.
+/// A failure to serve or query a control socket.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// Nobody listens there.
-    #[error("{0}: {1}")]
+    /// The socket cannot be opened or used; for a query, mostly because no forwarder listens on it.
+    #[error("control socket {0}: {1}")]
     Socket(PathBuf, #[source] io::Error),
-    /// Nothing came in time.
-    #[error("{0}: no answer in time")]
+    /// The forwarder did not answer in time.
+    #[error("control socket {0}: no answer within {seconds} s", seconds = (IO_TIMEOUT * 2).as_secs())]
     TimedOut(PathBuf),
-    /// What came is no answer.
-    #[error("the answer cannot be read: {0}")]
+    /// The response, or the request to be sent, is not valid JSON.
+    #[error("invalid JSON on the control socket: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The forwarder says no.
+    /// The forwarder answered with an error.
     #[error("{0}")]
     Refused(String),
 }
 
 #[derive(Serialize, Deserialize)]
-struct Question {
-    ask: String,
-    #[serde(default)]
-    with: Value,
+struct Request {
+    #[serde(rename = "ask")]
+    command: String,
+    #[serde(default, rename = "with")]
+    argument: Value,
 }
 
-/// Listens at a path and answers by `answer`, which gets what is asked and with what. One that stood there before, with
-/// nobody behind it, is replaced.
+/// Listens on a control socket and answers each request with the result of `handler`, which receives the
+/// command and its argument. A socket file that no process listens on is replaced.
 ///
 /// # Errors
 ///
-/// The socket can't be had.
-pub fn serve<F, A>(path: &Path, answer: F) -> Result<impl Future<Output = ()> + use<F, A>, ControlError>
+/// Another process listens on the socket, or it cannot be created.
+pub fn serve<F, A>(path: &Path, handler: F) -> Result<impl Future<Output = ()> + use<F, A>, ControlError>
 where
     F: Fn(String, Value) -> A + Send + Sync + 'static,
     A: Future<Output = Result<Value, String>> + Send,
@@ -67,63 +69,63 @@
     let _ = fs::remove_file(path);
     let listener = UnixListener::bind(path).map_err(failed)?;
     fs::set_permissions(path, fs::Permissions::from_mode(0o600)).map_err(failed)?;
-    let answer = Arc::new(answer);
-    let room = Arc::new(Semaphore::new(AT_ONCE));
+    let handler = Arc::new(handler);
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     Ok(async move {
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let answer = answer.clone();
+                    let handler = handler.clone();
                     tokio::spawn(async move {
-                        let _place = place;
-                        let _ = timeout(PATIENCE * 2, converse(stream, &*answer)).await;
+                        let _permit = permit;
+                        let _ = timeout(IO_TIMEOUT * 2, answer_request(stream, &*handler)).await;
                     });
                 }
                 Err(e) => {
-                    tracing::warn!("control: {e}");
-                    tokio::time::sleep(PAUSE).await;
+                    tracing::warn!("control: cannot accept a connection: {e}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     })
 }
 
-async fn converse<F, A>(stream: UnixStream, answer: &F) -> io::Result<()>
+async fn answer_request<F, A>(stream: UnixStream, handler: &F) -> io::Result<()>
 where
     F: Fn(String, Value) -> A,
     A: Future<Output = Result<Value, String>>,
 {
     let (read, mut write) = stream.into_split();
     let mut line = String::new();
-    BufReader::new(read.take(QUESTION_MOST)).read_line(&mut line).await?;
-    let told = match serde_json::from_str::<Question>(&line) {
-        Ok(question) => answer(question.ask, question.with).await,
-        Err(e) => Err(format!("the question cannot be read: {e}")),
+    BufReader::new(read.take(MAX_REQUEST_BYTES)).read_line(&mut line).await?;
+    let result = match serde_json::from_str::<Request>(&line) {
+        Ok(request) => handler(request.command, request.argument).await,
+        Err(e) => Err(format!("invalid request: {e}")),
     };
-    let told = match told {
+    let response = match result {
         Ok(value) => serde_json::json!({"ok": value}),
-        Err(why) => serde_json::json!({"error": why}),
+        Err(error) => serde_json::json!({"error": error}),
     };
-    write.write_all(format!("{told}\n").as_bytes()).await?;
+    write.write_all(format!("{response}\n").as_bytes()).await?;
     write.shutdown().await
 }
 
-/// Asks the forwarder that listens at a path.
+/// Sends a request to the forwarder that listens on a control socket, and returns its answer.
 ///
 /// # Errors
 ///
-/// Nobody listens, nothing comes in time, or it says no.
-pub async fn ask(path: &Path, what: &str, with: Value) -> Result<Value, ControlError> {
-    let question = serde_json::to_string(&Question { ask: what.to_owned(), with })?;
-    let asked = async {
+/// No process listens on the socket, no answer arrives in time, or the answer is an error.
+pub async fn ask(path: &Path, command: &str, argument: Value) -> Result<Value, ControlError> {
+    let request = serde_json::to_string(&Request { command: command.to_owned(), argument })?;
+    let exchange = async {
         let mut stream = UnixStream::connect(path).await?;
-        stream.write_all(format!("{question}\n").as_bytes()).await?;
+        stream.write_all(format!("{request}\n").as_bytes()).await?;
         let mut text = Vec::new();
-        stream.take(ANSWER_MOST).read_to_end(&mut text).await?;
+        stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut text).await?;
         Ok(text)
     };
-    let text = match timeout(PATIENCE * 2, asked).await {
+    let text = match timeout(IO_TIMEOUT * 2, exchange).await {
         Err(_) => return Err(ControlError::TimedOut(path.to_owned())),
         Ok(Err(e)) => return Err(ControlError::Socket(path.to_owned(), e)),
         Ok(Ok(text)) => text,
@@ -131,7 +133,9 @@
     let mut value: Value = serde_json::from_slice(&text)?;
     match value.get_mut("ok") {
         Some(ok) => Ok(ok.take()),
-        None => Err(ControlError::Refused(value["error"].as_str().unwrap_or("it says nothing").to_owned())),
+        None => Err(ControlError::Refused(
+            value["error"].as_str().unwrap_or("the answer holds no result and no error text").to_owned(),
+        )),
     }
 }
 
@@ -140,24 +144,24 @@
     use super::*;
 
     #[tokio::test]
-    async fn a_question_gets_its_answer_and_rubbish_a_reason() {
+    async fn answers_a_request_and_reports_an_invalid_one() {
         let path = std::env::temp_dir().join(format!("yarrowhill-control-{}", std::process::id()));
-        let answer = |what: String, with: Value| async move {
-            if what == "echo" { Ok(with) } else { Err(format!("{what:?} is unknown")) }
+        let handler = |command: String, argument: Value| async move {
+            if command == "echo" { Ok(argument) } else { Err(format!("unknown command {command:?}")) }
         };
-        let served = serve(&path, answer).expect("a socket");
-        let task = tokio::spawn(served);
-        let mode = fs::metadata(&path).expect("there").permissions().mode();
+        let server = serve(&path, handler).expect("the socket is free");
+        let task = tokio::spawn(server);
+        let mode = fs::metadata(&path).expect("the socket exists").permissions().mode();
         assert_eq!(mode & 0o777, 0o600);
-        assert_eq!(ask(&path, "echo", Value::from(7)).await.expect("told"), Value::from(7));
-        assert!(matches!(ask(&path, "what", Value::Null).await, Err(ControlError::Refused(_))));
-        let mut raw = UnixStream::connect(&path).await.expect("listens");
+        assert_eq!(ask(&path, "echo", Value::from(7)).await.expect("answered"), Value::from(7));
+        assert!(matches!(ask(&path, "unknown", Value::Null).await, Err(ControlError::Refused(_))));
+        let mut raw = UnixStream::connect(&path).await.expect("connected");
         raw.write_all(b"rubbish\n").await.expect("written");
         let mut text = String::new();
         raw.read_to_string(&mut text).await.expect("read");
-        assert!(text.contains("cannot be read"), "{text}");
-        // A second forwarder does not take the socket away.
-        assert!(serve(&path, answer).is_err());
+        assert!(text.contains("invalid request"), "{text}");
+        // A second forwarder does not replace a socket that is in use.
+        assert!(serve(&path, handler).is_err());
         task.abort();
         let _ = fs::remove_file(path);
     }
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -1,4 +1,5 @@
-//! The fleet's document: who should exist, and where. Read whole or refused whole, every fault at its place.
+//! The fleet document: the configured members, their addresses, shared limits and duties. A document is
+//! accepted as a whole or rejected with a diagnostic for every fault.
 //!
 //! ```
 //! let text = r#"
@@ -19,29 +20,30 @@
 use yarrowhill_membership::{MAX_MEMBERS, MemberConfig, MemberId, Roster, Timing};
 use yarrowhill_rights::{CALL, Limit, retry_limit_id};
 
-/// The longest document (bytes).
-const LONGEST: usize = 1 << 20;
-/// A probe period (ms) may be this.
-const PERIOD: std::ops::RangeInclusive<i128> = 20..=60_000;
-/// Without a word in the document (ms).
-const PERIOD_USUAL: u64 = 1000;
-/// Calls a second that a shared limit may be.
-const CALLS: std::ops::RangeInclusive<f64> = 0.001..=1e6;
-/// Limits in a document.
-const LIMITS_MOST: usize = 10_000;
-/// Faults that are told.
-const FAULTS_MOST: usize = 100;
-/// Fleets up to this size ask for support all the time; larger ones where the document says so.
-const CONFIRM_MOST: usize = 64;
+/// Maximum length of a document.
+const MAX_DOCUMENT_BYTES: usize = 1 << 20;
+/// Accepted range of the probe period (ms).
+const PERIOD_RANGE_MS: std::ops::RangeInclusive<i128> = 20..=60_000;
+/// Probe period if the document does not set one.
+const DEFAULT_PERIOD_MS: u64 = 1000;
+/// Accepted range of a shared limit (calls per second).
+const CALL_RATE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
+/// Maximum number of limits in a document.
+const MAX_LIMITS: usize = 10_000;
+/// Maximum number of diagnostics that are reported.
+const MAX_DIAGNOSTICS: usize = 100;
+/// Largest fleet whose members collect support continuously by default; in a larger one only if the document
+/// sets `confirm`.
+const MAX_MEMBERS_CONFIRM_BY_DEFAULT: usize = 64;
 
-/// Something wrong with a document.
+/// A fault in a fleet document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where: file, line, column.
+    /// Position of the fault: file, line and column, both from 1.
     pub location: (String, usize, usize),
-    /// What.
+    /// Description of the fault.
     pub problem: String,
-    /// What would be right.
+    /// Suggested correction.
     pub remedy: String,
 }
 
@@ -52,225 +54,257 @@
     }
 }
 
-/// What a document says.
+/// The content of a fleet document, as it applies to one member.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// Who should exist.
+    /// The configured members.
     pub roster: Roster,
-    /// Where this one listens, UDP and TCP.
+    /// Address on which the local member listens, by UDP and TCP.
     pub listen: SocketAddr,
-    /// Where the others are, as this one reaches them.
+    /// Addresses of the other members, as reached from the local member.
     pub addresses: BTreeMap<MemberId, SocketAddr>,
-    /// The protocol's spans.
+    /// Periods and time-outs of the membership protocol.
     pub timing: Timing,
-    /// Limits that all share, by destination; those on attempts beyond the first by [`further_attempts`] of it.
+    /// Limits that all members share, by destination; a limit on retries is stored under [`retry_limit_id`]
+    /// of the destination.
     pub limits: BTreeMap<u64, Limit>,
-    /// Whether they tell each other of outages, and come back together.
+    /// Whether members report outages to each other and bring a recovered destination back together.
     pub share_outages: bool,
-    /// Duties that one of them holds at a time.
+    /// Duties, each held by at most one member at a time.
     pub duties: Vec<Duty>,
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     file: &'a str,
     text: &'a str,
-    faults: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
 }
 
-/// Reads a document for the member `me`.
+/// Parses a document for the member that is named `local`. `file` is the name shown in diagnostics.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with it.
-pub fn parse_document(file: &str, text: &str, me: &str) -> Result<Document, Vec<Diagnostic>> {
-    let mut reader = Reader { file, text, faults: Vec::new() };
-    let document = reader.document(me);
-    reader.faults.truncate(FAULTS_MOST);
+/// Returns a diagnostic for each fault.
+pub fn parse_document(file: &str, text: &str, local: &str) -> Result<Document, Vec<Diagnostic>> {
+    let mut parser = Parser { file, text, diagnostics: Vec::new() };
+    let document = parser.parse(local);
+    parser.diagnostics.truncate(MAX_DIAGNOSTICS);
     match document {
-        Some(document) if reader.faults.is_empty() => Ok(document),
-        _ => Err(reader.faults),
+        Some(document) if parser.diagnostics.is_empty() => Ok(document),
+        _ => Err(parser.diagnostics),
     }
 }
 
-impl Reader<'_> {
-    fn fault(&mut self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
+impl Parser<'_> {
+    fn report(&mut self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
         let before = self.text.get(..offset).unwrap_or_default();
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
         let location = (self.file.to_owned(), line, column);
-        self.faults.push(Diagnostic { location, problem: problem.into(), remedy: remedy.into() });
+        self.diagnostics.push(Diagnostic { location, problem: problem.into(), remedy: remedy.into() });
     }
 
-    fn document(&mut self, me: &str) -> Option<Document> {
-        if self.text.len() > LONGEST {
-            self.fault(0, format!("{} bytes", self.text.len()), format!("{LONGEST} are the most"));
+    fn parse(&mut self, local: &str) -> Option<Document> {
+        if self.text.len() > MAX_DOCUMENT_BYTES {
+            self.report(
+                0,
+                format!("document of {} bytes is too long", self.text.len()),
+                format!("at most {MAX_DOCUMENT_BYTES} bytes"),
+            );
             return None;
         }
         let parsed: KdlDocument = match self.text.parse() {
             Ok(parsed) => parsed,
             Err(e) => {
                 let e: kdl::KdlError = e;
-                for d in &e.diagnostics {
-                    let what = d.message.clone().unwrap_or_else(|| "cannot be read".to_owned());
-                    let remedy = d.help.clone().unwrap_or_else(|| "it is to be KDL".to_owned());
-                    self.fault(d.span.offset(), what, remedy);
+                for diagnostic in &e.diagnostics {
+                    let problem = diagnostic.message.clone().unwrap_or_else(|| "syntax error".to_owned());
+                    let remedy = diagnostic.help.clone().unwrap_or_else(|| "write valid KDL".to_owned());
+                    self.report(diagnostic.span.offset(), problem, remedy);
                 }
                 return None;
             }
         };
         let mut fleets = parsed.nodes().iter();
         let Some(fleet) = fleets.next().filter(|n| n.name().value() == "fleet") else {
-            self.fault(0, "there is no fleet", "begin with `fleet version=1 { ... }`");
+            self.report(0, "no `fleet` node at the start", "begin with `fleet version=1 { ... }`");
             return None;
         };
         for other in fleets {
-            self.fault(other.span().offset(), "a second node", "one `fleet` is the whole document");
+            self.report(other.span().offset(), "a second top-level node", "a document has one `fleet` node");
         }
-        self.fleet(fleet, me)
+        self.parse_fleet(fleet, local)
     }
 
-    fn fleet(&mut self, node: &KdlNode, me: &str) -> Option<Document> {
-        self.known(node, &["version", "listen", "period-ms", "loopback", "confirm", "returns"]);
-        let version = self.number(node, "version", 1..=i128::from(u32::MAX)).unwrap_or(0);
+    fn parse_fleet(&mut self, node: &KdlNode, local: &str) -> Option<Document> {
+        self.check_properties(node, &["version", "listen", "period-ms", "loopback", "confirm", "returns"]);
+        let version = self.parse_integer(node, "version", 1..=i128::from(u32::MAX)).unwrap_or(0);
         if node.get("version").is_none() {
-            self.fault(node.span().offset(), "no version", "each change of the roster takes the next one");
+            self.report(
+                node.span().offset(),
+                "no version",
+                "set `version`, one higher with each change of the roster",
+            );
         }
-        let period = self.number(node, "period-ms", PERIOD).unwrap_or(PERIOD_USUAL);
-        let loopback = self.flag(node, "loopback").unwrap_or(false);
-        let share_outages = self.flag(node, "returns").unwrap_or(true);
-        let (mut seats, mut before) = (Vec::new(), Vec::new());
+        let period = self.parse_integer(node, "period-ms", PERIOD_RANGE_MS).unwrap_or(DEFAULT_PERIOD_MS);
+        let loopback = self.parse_bool(node, "loopback").unwrap_or(false);
+        let share_outages = self.parse_bool(node, "returns").unwrap_or(true);
+        let (mut members, mut previous) = (Vec::new(), Vec::new());
         let mut duties: Vec<Duty> = Vec::new();
         let (mut addresses, mut limits) = (BTreeMap::new(), BTreeMap::new());
         for child in node.children().map(KdlDocument::nodes).unwrap_or_default() {
             match child.name().value() {
-                "member" => seats.extend(self.member(child, loopback, &mut addresses)),
+                "member" => members.extend(self.parse_member(child, loopback, &mut addresses)),
                 "before" => {
-                    self.known(child, &[]);
-                    for old in child.children().map(KdlDocument::nodes).unwrap_or_default() {
-                        before.extend(self.member(old, loopback, &mut addresses));
+                    self.check_properties(child, &[]);
+                    for member in child.children().map(KdlDocument::nodes).unwrap_or_default() {
+                        previous.extend(self.parse_member(member, loopback, &mut addresses));
                     }
                 }
-                "limit" => self.limit(child, &mut limits),
-                "duty" => self.duty(child, &mut duties),
+                "limit" => self.parse_limit(child, &mut limits),
+                "duty" => self.parse_duty(child, &mut duties),
                 other => {
-                    let what = format!("unknown node {other:?}");
-                    self.fault(child.span().offset(), what, "member, before, limit and duty are known");
+                    let problem = format!("unknown node {other:?}");
+                    self.report(child.span().offset(), problem, "use member, before, limit or duty");
                 }
             }
         }
-        let at = node.span().offset();
-        let mut sound = |roster: Result<Roster, _>| match roster {
+        let offset = node.span().offset();
+        let mut checked = |roster: Result<Roster, _>| match roster {
             Ok(roster) => Some(roster),
             Err(e) => {
                 let e: yarrowhill_membership::RosterError = e;
-                self.fault(at, e.to_string(), format!("1 to {MAX_MEMBERS} members, each once"));
+                self.report(offset, e.to_string(), format!("list 1 to {MAX_MEMBERS} members, each once"));
                 None
             }
         };
-        let now = sound(Roster::new(version, seats))?;
-        let roster = match before.is_empty() {
-            true => now,
-            false => sound(Roster::new(version.saturating_sub(1), before))?.joint(&now),
+        let current = checked(Roster::new(version, members))?;
+        let roster = match previous.is_empty() {
+            true => current,
+            false => checked(Roster::new(version.saturating_sub(1), previous))?.joint(&current),
         };
-        let id = MemberId::from_name(me);
+        let id = MemberId::from_name(local);
         if !roster.contains(id) {
-            self.fault(at, format!("{me:?} is not a member"), "the forwarder's own name must be there");
+            self.report(offset, format!("{local:?} is not a member"), "list the forwarder's own name");
             return None;
         }
-        let own = addresses.get(&id).copied();
-        let listen = self.address(node, "listen", loopback).or(own)?;
+        let local_address = addresses.get(&id).copied();
+        let listen = self.parse_address(node, "listen", loopback).or(local_address)?;
         addresses.remove(&id);
         let mut timing = Timing::from_period(period * 1000);
-        timing.collect_support = self.flag(node, "confirm").unwrap_or(roster.len() <= CONFIRM_MOST);
+        timing.collect_support =
+            self.parse_bool(node, "confirm").unwrap_or(roster.len() <= MAX_MEMBERS_CONFIRM_BY_DEFAULT);
         Some(Document { roster, listen, addresses, timing, limits, share_outages, duties })
     }
 
-    /// `limit 10 calls=60.0 further=6.0`: calls a second to a destination, for all together, and of these, attempts beyond the
-    /// first; `lend=#false` leaves each its even part.
-    fn limit(&mut self, node: &KdlNode, limits: &mut BTreeMap<u64, Limit>) {
-        self.known(node, &["calls", "further", "lend"]);
-        let lend = self.flag(node, "lend").unwrap_or(true);
-        let at = node.span().offset();
+    /// Parses `limit 10 calls=60.0 further=6.0`: the calls per second that all members together may send to a
+    /// destination, and how many of these may be retries. With `lend=#false` each member keeps its equal
+    /// share.
+    fn parse_limit(&mut self, node: &KdlNode, limits: &mut BTreeMap<u64, Limit>) {
+        self.check_properties(node, &["calls", "further", "lend"]);
+        let lend = self.parse_bool(node, "lend").unwrap_or(true);
+        let offset = node.span().offset();
         let dest = node.get(0).and_then(KdlValue::as_integer).and_then(|n| u64::try_from(n).ok());
-        // The upper half of all numbers stands for attempts beyond the first.
+        // The upper half of the ID range is reserved for limits on retries.
         let Some(dest) = dest.filter(|dest| retry_limit_id(*dest) != *dest) else {
-            return self.fault(at, "a limit without its destination", "`limit DESTINATION calls=N`");
+            return self.report(offset, "a limit without a destination", "`limit DESTINATION calls=N`");
         };
-        let mut any = false;
-        for (name, number) in [("calls", dest), ("further", retry_limit_id(dest))] {
+        let mut has_limit = false;
+        for (name, id) in [("calls", dest), ("further", retry_limit_id(dest))] {
             let Some(value) = node.get(name) else { continue };
-            any = true;
+            has_limit = true;
             let calls = value.as_integer().map(|n| n as f64).or_else(|| value.as_float());
-            let Some(calls) = calls.filter(|calls| CALLS.contains(calls)) else {
-                let remedy = format!("from {} to {} a second", CALLS.start(), CALLS.end());
-                self.fault(at, format!("{name} is {value}"), remedy);
+            let Some(calls) = calls.filter(|calls| CALL_RATE_RANGE.contains(calls)) else {
+                let remedy = format!(
+                    "a number from {} to {}, in calls per second",
+                    CALL_RATE_RANGE.start(),
+                    CALL_RATE_RANGE.end()
+                );
+                self.report(offset, format!("{name} is {value}"), remedy);
                 continue;
             };
-            if limits.len() >= LIMITS_MOST {
-                self.fault(at, "too many limits", format!("{LIMITS_MOST} are the most"));
-            } else if limits.insert(number, Limit { calls: (calls * CALL as f64) as u64, lend }).is_some() {
-                self.fault(at, format!("a second limit for {dest}"), "one for each destination");
+            if limits.len() >= MAX_LIMITS {
+                self.report(offset, "too many limits", format!("at most {MAX_LIMITS}"));
+            } else if limits.insert(id, Limit { calls: (calls * CALL as f64) as u64, lend }).is_some() {
+                self.report(
+                    offset,
+                    format!("a second limit for {dest}"),
+                    "set each limit once per destination",
+                );
             }
         }
-        if !any {
-            self.fault(
-                at,
-                "a limit without its calls",
-                "`limit DESTINATION calls=N further=N`, or one of them",
+        if !has_limit {
+            self.report(
+                offset,
+                "a limit without `calls` or `further`",
+                "`limit DESTINATION calls=N further=N`, or one of the two",
             );
         }
     }
 
-    /// `duty "bookkeeper" zone="riga"`: one of them holds it at a time, one of the zone before others.
-    fn duty(&mut self, node: &KdlNode, duties: &mut Vec<Duty>) {
-        self.known(node, &["zone"]);
-        let at = node.span().offset();
+    /// Parses `duty "bookkeeper" zone="riga"`: a duty that one member holds at a time, preferably one of the
+    /// zone.
+    fn parse_duty(&mut self, node: &KdlNode, duties: &mut Vec<Duty>) {
+        self.check_properties(node, &["zone"]);
+        let offset = node.span().offset();
         let name = node.get(0).and_then(KdlValue::as_string).filter(|n| !n.is_empty() && n.len() <= 64);
         let Some(name) = name else {
-            return self.fault(at, "a duty without a name", "`duty \"NAME\"`, up to 64 bytes");
+            return self.report(
+                offset,
+                "a duty without a name",
+                "`duty \"NAME\"`, with a name of up to 64 bytes",
+            );
         };
         let zone = node.get("zone").and_then(KdlValue::as_string).map(str::to_owned);
         if duties.iter().any(|duty| duty.name == name) {
-            self.fault(at, format!("a second duty {name:?}"), "each once");
+            self.report(offset, format!("a second duty {name:?}"), "list each duty once");
         } else if duties.len() >= MAX_DUTIES {
-            self.fault(at, "too many duties", format!("{MAX_DUTIES} are the most"));
+            self.report(offset, "too many duties", format!("at most {MAX_DUTIES}"));
         } else {
             duties.push(Duty { name: name.to_owned(), zone });
         }
     }
 
-    fn member(
+    fn parse_member(
         &mut self,
         node: &KdlNode,
         loopback: bool,
         addresses: &mut BTreeMap<MemberId, SocketAddr>,
     ) -> Option<MemberConfig> {
-        self.known(node, &["address", "zone", "votes"]);
+        self.check_properties(node, &["address", "zone", "votes"]);
         let name = node.get(0).and_then(KdlValue::as_string).map(str::to_owned);
-        let at = node.span().offset();
+        let offset = node.span().offset();
         let Some(name) = name.filter(|n| !n.is_empty() && n.len() <= 64) else {
-            self.fault(at, "a member without a name", "`member \"n0\" address=...`, up to 64 bytes");
+            self.report(
+                offset,
+                "a member without a name",
+                "`member \"n0\" address=...`, with a name of up to 64 bytes",
+            );
             return None;
         };
-        match self.address(node, "address", loopback) {
+        match self.parse_address(node, "address", loopback) {
             Some(address) => {
-                let taken =
+                let is_taken =
                     addresses.iter().any(|(id, a)| *a == address && *id != MemberId::from_name(&name));
-                if taken {
-                    self.fault(at, format!("{address} is another member's"), "one address each");
+                if is_taken {
+                    self.report(
+                        offset,
+                        format!("{address} is another member's address"),
+                        "give each member its own address",
+                    );
                 }
                 addresses.insert(MemberId::from_name(&name), address);
             }
             None if node.get("address").is_none() => {
-                self.fault(at, format!("{name:?} has no address"), "`address=\"IP:PORT\"`");
+                self.report(offset, format!("{name:?} has no address"), "`address=\"IP:PORT\"`");
             }
             None => {}
         }
         let zone = node.get("zone").and_then(KdlValue::as_string).unwrap_or_default().to_owned();
-        Some(MemberConfig { name, zone, votes: self.flag(node, "votes") })
+        Some(MemberConfig { name, zone, votes: self.parse_bool(node, "votes") })
     }
 
-    fn known(&mut self, node: &KdlNode, names: &[&str]) {
+    fn check_properties(&mut self, node: &KdlNode, names: &[&str]) {
         let unknown: Vec<String> = node
             .entries()
             .iter()
@@ -278,46 +312,59 @@
             .filter(|n| !names.contains(&n.as_str()))
             .collect();
         for name in unknown {
-            let remedy = format!("known are: {}", names.join(", "));
-            self.fault(node.span().offset(), format!("unknown {name:?}"), remedy);
+            let remedy = format!("known properties: {}", names.join(", "));
+            self.report(node.span().offset(), format!("unknown property {name:?}"), remedy);
         }
     }
 
-    fn number(&mut self, node: &KdlNode, name: &str, range: std::ops::RangeInclusive<i128>) -> Option<u64> {
+    fn parse_integer(
+        &mut self,
+        node: &KdlNode,
+        name: &str,
+        range: std::ops::RangeInclusive<i128>,
+    ) -> Option<u64> {
         let value = node.get(name)?;
         match value.as_integer().filter(|n| range.contains(n)) {
             Some(n) => u64::try_from(n).ok(),
             None => {
-                let remedy = format!("a whole number from {} to {}", range.start(), range.end());
-                self.fault(node.span().offset(), format!("{name} is {value}"), remedy);
+                let remedy = format!("an integer from {} to {}", range.start(), range.end());
+                self.report(node.span().offset(), format!("{name} is {value}"), remedy);
                 None
             }
         }
     }
 
-    fn flag(&mut self, node: &KdlNode, name: &str) -> Option<bool> {
+    fn parse_bool(&mut self, node: &KdlNode, name: &str) -> Option<bool> {
         let value = node.get(name)?;
         if value.as_bool().is_none() {
-            self.fault(node.span().offset(), format!("{name} is {value}"), "#true or #false");
+            self.report(node.span().offset(), format!("{name} is {value}"), "#true or #false");
         }
         value.as_bool()
     }
 
-    fn address(&mut self, node: &KdlNode, name: &str, loopback: bool) -> Option<SocketAddr> {
+    fn parse_address(&mut self, node: &KdlNode, name: &str, loopback: bool) -> Option<SocketAddr> {
         let value = node.get(name)?;
         let address: Option<SocketAddr> = value.as_string().and_then(|a| a.parse().ok());
         match address {
             Some(a) if a.port() == 0 || a.ip().is_unspecified() => {
-                self.fault(node.span().offset(), format!("{a} reaches nobody"), "an IP and a port");
+                self.report(
+                    node.span().offset(),
+                    format!("{a} cannot be reached"),
+                    "give a specific IP address and a port other than 0",
+                );
                 None
             }
             Some(a) if loopback && !a.ip().is_loopback() => {
-                self.fault(node.span().offset(), format!("{a} is not on loopback"), "loopback was asked for");
+                self.report(
+                    node.span().offset(),
+                    format!("{a} is not on loopback"),
+                    "give a loopback address, as `loopback` is set",
+                );
                 None
             }
             Some(a) => Some(a),
             None => {
-                self.fault(node.span().offset(), format!("{name} is {value}"), "\"IP:PORT\"");
+                self.report(node.span().offset(), format!("{name} is {value}"), "\"IP:PORT\"");
                 None
             }
         }
@@ -328,70 +375,75 @@
 mod tests {
     use super::*;
 
-    fn faults(text: &str) -> Vec<String> {
-        let faults = parse_document("f", text, "n0").err().unwrap_or_default();
-        faults.iter().map(ToString::to_string).collect()
+    fn diagnostics(text: &str) -> Vec<String> {
+        let diagnostics = parse_document("f", text, "n0").err().unwrap_or_default();
+        diagnostics.iter().map(ToString::to_string).collect()
     }
 
     #[test]
-    fn every_fault_is_told_at_its_place() {
-        let told = faults(
+    fn reports_every_fault_with_its_position() {
+        let reported = diagnostics(
             "fleet version=0 wrong=1 loopback=#true {\n  member \"n0\" address=\"10.0.0.1:7\"\n  \
              member \"n1\" address=\"nowhere\"\n  member\n  seat \"n2\"\n}",
         );
-        for part in
-            ["version is 0", "unknown \"wrong\"", "not on loopback", "nowhere", "without a name", "seat"]
-        {
-            assert!(told.iter().any(|f| f.contains(part)), "{part}: {told:#?}");
+        for part in [
+            "version is 0",
+            "unknown property \"wrong\"",
+            "not on loopback",
+            "nowhere",
+            "without a name",
+            "seat",
+        ] {
+            assert!(reported.iter().any(|f| f.contains(part)), "{part}: {reported:#?}");
         }
-        assert!(told.iter().any(|f| f.starts_with("f:3:3:")), "{told:#?}");
+        assert!(reported.iter().any(|f| f.starts_with("f:3:3:")), "{reported:#?}");
     }
 
     #[test]
-    fn duties_are_read_each_once() {
+    fn accepts_each_duty_once() {
         let text =
             |duties: &str| format!("fleet version=1 {{ member \"n0\" address=\"127.0.0.1:7\"\n{duties}\n}}");
-        let sound = parse_document("f", &text("duty \"a\" zone=\"z\"\nduty \"b\""), "n0").expect("sound");
-        assert_eq!(sound.duties, [Duty { name: "a".into(), zone: Some("z".into()) }, Duty::new("b")]);
-        let told = faults(&text("duty \"a\"\nduty \"a\" room=1\nduty"));
-        for part in ["a second duty", "unknown \"room\"", "without a name"] {
-            assert!(told.iter().any(|f| f.contains(part)), "{part}: {told:?}");
+        let document = parse_document("f", &text("duty \"a\" zone=\"z\"\nduty \"b\""), "n0").expect("valid");
+        assert_eq!(document.duties, [Duty { name: "a".into(), zone: Some("z".into()) }, Duty::new("b")]);
+        let reported = diagnostics(&text("duty \"a\"\nduty \"a\" room=1\nduty"));
+        for part in ["a second duty", "unknown property \"room\"", "without a name"] {
+            assert!(reported.iter().any(|f| f.contains(part)), "{part}: {reported:?}");
         }
     }
 
     #[test]
-    fn limits_on_calls_and_on_further_attempts_are_two() {
+    fn keeps_limits_on_calls_and_on_retries_apart() {
         let text =
             |limits: &str| format!("fleet version=1 {{ member \"n0\" address=\"127.0.0.1:7\"\n{limits}\n}}");
         let document = parse_document("f", &text("limit 7 calls=10 further=1.5\nlimit 8 further=2"), "n0")
-            .expect("sound");
+            .expect("valid");
         let calls: Vec<(u64, u64)> = document.limits.iter().map(|(n, l)| (*n, l.calls)).collect();
-        let further = [7, 8].map(retry_limit_id);
-        assert_eq!(calls, [(7, 10 * CALL), (further[0], 3 * CALL / 2), (further[1], 2 * CALL)]);
-        for (limit, told) in [
-            ("limit 7", "without its calls"),
-            ("limit calls=3", "without its destination"),
-            ("limit 9223372036854775815 calls=1", "without its destination"),
+        let retries = [7, 8].map(retry_limit_id);
+        assert_eq!(calls, [(7, 10 * CALL), (retries[0], 3 * CALL / 2), (retries[1], 2 * CALL)]);
+        for (limit, expected) in [
+            ("limit 7", "without `calls` or `further`"),
+            ("limit calls=3", "without a destination"),
+            ("limit 9223372036854775815 calls=1", "without a destination"),
             ("limit 7 further=#true", "further is #true"),
             ("limit 7 calls=1\nlimit 7 calls=2", "a second limit"),
         ] {
             assert!(
-                faults(&text(limit)).iter().any(|f| f.contains(told)),
+                diagnostics(&text(limit)).iter().any(|f| f.contains(expected)),
                 "{limit}: {:?}",
-                faults(&text(limit))
+                diagnostics(&text(limit))
             );
         }
     }
 
     #[test]
-    fn a_roster_without_me_or_with_a_name_twice_is_refused() {
-        let one = "fleet version=1 { member \"n1\" address=\"127.0.0.1:7\"; }";
-        assert!(faults(one)[0].contains("not a member"));
-        let twice = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n0\" address=\"127.0.0.1:8\"; }";
-        assert!(faults(twice)[0].contains("twice"), "{:?}", faults(twice));
-        let same = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n1\" address=\"127.0.0.1:7\"; }";
-        assert!(faults(same)[0].contains("another member's"));
-        assert!(!faults("fleet {").is_empty());
-        assert!(!faults("").is_empty());
+    fn rejects_a_roster_without_the_local_member_or_with_duplicates() {
+        let other = "fleet version=1 { member \"n1\" address=\"127.0.0.1:7\"; }";
+        assert!(diagnostics(other)[0].contains("not a member"));
+        let same_name = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n0\" address=\"127.0.0.1:8\"; }";
+        assert!(diagnostics(same_name)[0].contains("twice"), "{:?}", diagnostics(same_name));
+        let same_address = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n1\" address=\"127.0.0.1:7\"; }";
+        assert!(diagnostics(same_address)[0].contains("another member's address"));
+        assert!(!diagnostics("fleet {").is_empty());
+        assert!(!diagnostics("").is_empty());
     }
 }
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -1,18 +1,18 @@
-//! The boot number in the folder: on disk before a packet under it leaves.
+//! The boot number in the state folder. It is on disk before the first packet that carries it is sent.
 
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The file's name in the state folder.
-const NAME: &str = "identity";
-/// A file that is longer than this is none of ours (bytes).
-const LONGEST: u64 = 4096;
+/// Name of the file in the state folder.
+const FILE_NAME: &str = "identity";
+/// Maximum length of the file; a longer one is damaged.
+const MAX_FILE_BYTES: u64 = 4096;
 
-/// Why the boot number is not on disk.
+/// A failure to write the boot number.
 #[derive(Debug, thiserror::Error)]
-#[error("identity: {path}: {source}")]
+#[error("cannot write boot number to {path}: {source}")]
 pub struct IdentityError {
     path: PathBuf,
     source: io::Error,
@@ -23,16 +23,17 @@
     version: u32,
     name: String,
     boot: u64,
-    sum: u32,
+    #[serde(rename = "sum")]
+    checksum: u32,
 }
 
 impl Stored {
-    fn sum(name: &str, boot: u64) -> u32 {
+    fn checksum(name: &str, boot: u64) -> u32 {
         crc32fast::hash(format!("{name} {boot}").as_bytes())
     }
 }
 
-/// The file with the boot number.
+/// The file that holds the boot number.
 #[derive(Clone, Debug)]
 pub struct IdentityFile {
     path: PathBuf,
@@ -40,19 +41,23 @@
 }
 
 impl IdentityFile {
-    /// Reads the boot number of the last start and writes that of this one. A damaged file, or one of another name, is
-    /// kept aside: what follows is that this start speaks under a low boot, and goes above whatever it hears.
+    /// Reads the boot number of the previous start, and writes and returns the next one. A file that is
+    /// damaged or belongs to another name is renamed to `identity.damaged`; this start then begins with a low
+    /// boot number and raises it above any that other members report for this name.
     ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// The file cannot be written.
     pub fn open_next_boot(folder: &Path, name: &str) -> Result<(Self, u64), IdentityError> {
-        let file = IdentityFile { path: folder.join(NAME), name: name.to_owned() };
+        let file = IdentityFile { path: folder.join(FILE_NAME), name: name.to_owned() };
         let last = match file.read() {
             Ok(last) => last,
-            Err(why) => {
+            Err(reason) => {
                 let aside = file.path.with_extension("damaged");
-                tracing::error!("identity: {why}; kept as {}, the boots are counted anew", aside.display());
+                tracing::error!(
+                    "identity: cannot use the stored boot number: {reason}; file renamed to {}, counting from 1",
+                    aside.display()
+                );
                 let _ = fs::rename(&file.path, &aside);
                 0
             }
@@ -62,39 +67,42 @@
         Ok((file, boot))
     }
 
-    /// The boot number that the file holds; 0 where there is none.
+    /// Returns the stored boot number; 0 if there is no file.
     fn read(&self) -> Result<u64, String> {
         match fs::metadata(&self.path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(0),
-            Ok(data) if data.len() > LONGEST => return Err(format!("{} bytes are too many", data.len())),
+            Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
+                return Err(format!("file of {} bytes is too long", metadata.len()));
+            }
             _ => {}
         }
         let text = fs::read(&self.path).map_err(|e| e.to_string())?;
         let stored: Stored = serde_json::from_slice(&text).map_err(|e| e.to_string())?;
-        let Stored { version, name, boot, sum } = stored;
-        if version != 1 || sum != Stored::sum(&name, boot) {
-            return Err("its checksum or version is wrong".to_owned());
+        let Stored { version, name, boot, checksum } = stored;
+        if version != 1 || checksum != Stored::checksum(&name, boot) {
+            return Err("wrong checksum or version".to_owned());
         }
-        if name != self.name { Err(format!("it is {name:?}'s")) } else { Ok(boot) }
+        if name != self.name { Err(format!("it belongs to member {name:?}")) } else { Ok(boot) }
     }
 
-    /// Writes a boot number: beside the file, to disk, then over it, so that a crash leaves the one or the other.
+    /// Replaces the boot number atomically: writes a temporary file, syncs it and renames it over the old
+    /// one, so that a crash leaves either the old or the new number.
     ///
     /// # Errors
     ///
-    /// The disk is full, or the folder can't be written.
+    /// The disk is full, or the folder is not writable.
     pub fn write(&self, boot: u64) -> Result<(), IdentityError> {
-        let (name, sum) = (self.name.clone(), Stored::sum(&self.name, boot));
-        let text = serde_json::to_vec(&Stored { version: 1, name, boot, sum }).unwrap_or_default();
-        let beside = self.path.with_extension("new");
-        let written = || -> io::Result<()> {
-            let mut file = File::create(&beside)?;
+        let (name, checksum) = (self.name.clone(), Stored::checksum(&self.name, boot));
+        let text = serde_json::to_vec(&Stored { version: 1, name, boot, checksum }).unwrap_or_default();
+        let temporary = self.path.with_extension("new");
+        let replace = || -> io::Result<()> {
+            let mut file = File::create(&temporary)?;
             file.write_all(&text)?;
             file.sync_all()?;
-            fs::rename(&beside, &self.path)?;
+            fs::rename(&temporary, &self.path)?;
             File::open(self.path.parent().unwrap_or(Path::new(".")))?.sync_all()
         };
-        written().map_err(|source| IdentityError { path: self.path.clone(), source })
+        replace().map_err(|source| IdentityError { path: self.path.clone(), source })
     }
 }
 
@@ -110,23 +118,23 @@
     }
 
     #[test]
-    fn boots_are_counted_and_a_damaged_file_is_kept_aside() {
-        let folder = folder("counted");
+    fn counts_boots_and_renames_a_damaged_file() {
+        let folder = folder("boots");
         let boot = |name: &str| IdentityFile::open_next_boot(&folder, name).expect("written").1;
         assert_eq!((boot("n0"), boot("n0")), (1, 2));
-        let path = folder.join(NAME);
-        let mut bytes = fs::read(&path).expect("there");
-        let at = bytes.iter().position(|b| *b == b'2').expect("the boot");
+        let path = folder.join(FILE_NAME);
+        let mut bytes = fs::read(&path).expect("the file exists");
+        let at = bytes.iter().position(|b| *b == b'2').expect("the boot number");
         bytes[at] = b'7';
         fs::write(&path, bytes).expect("written");
-        assert_eq!(boot("n0"), 1, "a changed boot is not believed");
+        assert_eq!(boot("n0"), 1, "a boot number with a wrong checksum is not used");
         assert!(path.with_extension("damaged").exists());
-        assert_eq!(boot("n1"), 1, "another's boots are not this one's");
+        assert_eq!(boot("n1"), 1, "another member's boot number is not used");
         let _ = fs::remove_dir_all(&folder);
     }
 
     #[test]
-    fn without_a_folder_nothing_is_started() {
+    fn fails_without_a_state_folder() {
         assert!(IdentityFile::open_next_boot(Path::new("/nowhere/at/all"), "n0").is_err());
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,15 @@
-//! Drives [`yarrowhill_membership`] and [`yarrowhill_rights`] with sockets, files and clocks, and tells operators who is there. It decides
-//! nothing: what a process may do is read from [`Handle::permits`], at the last step before it is done.
+//! Drives [`yarrowhill_membership`], [`yarrowhill_rights`], [`yarrowhill_knowledge`] and
+//! [`yarrowhill_duties`] with sockets, files and clocks, and reports the state of the fleet to operators. It
+//! makes no decisions itself: callers read what a process may do from [`Handle::permits`], as the last step
+//! before acting on it.
 //!
-//! - `document`: the fleet's document, in KDL
-//! - `clock`: the clock that counts stops
-//! - `identity`: the boot number in the folder
-//! - `codec`: packets as bytes
-//! - `registers`: what a voter keeps of duties in the folder
-//! - `node`: the task with the sockets
-//! - `status`, `control`: what is told, and the Unix socket where it is asked for
+//! - `document`: the fleet document, in KDL
+//! - `clock`: a clock that also advances while the process is stopped
+//! - `identity`: the boot number in the state folder
+//! - `codec`: encoding of packets
+//! - `registers`: a voter's duty registers in the state folder
+//! - `node`: the task that owns the sockets
+//! - `status`, `control`: status reports, and the Unix socket that serves them
 
 mod clock;
 mod codec;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -593,7 +593,7 @@
                         self.handle.duties().persisted();
                     }
                     duties::Output::Erase => {
-                        if let Err(e) = self.registers.forget() {
+                        if let Err(e) = self.registers.delete() {
                             tracing::error!(
                                 "duties: {e}; a further start would believe what this one doubts"
                             );
@@ -767,7 +767,7 @@
     fn persist(&mut self, boot: u64) {
         // Others know of a later life than its folder: what that promised as a voter stands nowhere here.
         self.handle.duties().suspend_voting(clock::now());
-        if let Err(e) = self.registers.forget() {
+        if let Err(e) = self.registers.delete() {
             tracing::error!("duties: {e}; a further start would believe what this one doubts");
         }
         match self.identity.write(boot) {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! What a forwarder tells of its fleet.
+//! Status reports of a forwarder about its fleet, for operators.
 
 use serde::{Deserialize, Serialize};
 use yarrowhill_duties::{Duties, DutyStatus, VoteStatus};
@@ -8,93 +8,94 @@
 };
 use yarrowhill_rights::{LimitStatus, Refusals, SharedLimits};
 
-/// A member as this forwarder knows it.
+/// A member as the reporting forwarder knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Whether its support counts.
+    /// Whether the member is a voter of the roster, so that its support counts.
     pub votes: bool,
-    /// Boot and round of the word that counts.
+    /// Boot number and refutations of the record in force.
     pub incarnation: String,
-    /// How it stands.
+    /// Health of the member.
     #[serde(rename = "state")]
     pub health: Health,
-    /// For how long it has stood so here (ms).
+    /// Time since the health last changed here (ms).
     pub since_ms: u64,
-    /// How long ago a packet of its own came (ms); none ever.
+    /// Time since the last packet of the member arrived (ms); `None` if none has.
     #[serde(rename = "heard_ms")]
     pub last_received_ms: Option<u64>,
-    /// Who told the word that counts.
+    /// Member that reported the record in force.
     #[serde(rename = "by")]
     pub source: Option<String>,
-    /// How much longer its support for this forwarder's view holds (ms).
+    /// Time left of the member's support for the forwarder's view (ms).
     pub support_ms: u64,
-    /// Whether it is in the stable view.
+    /// Whether the member is in the stable view.
     pub in_view: bool,
-    /// It goes by another roster than this forwarder: version and hash.
+    /// Version and hash of the member's roster, if it differs from the forwarder's.
     pub other_roster: Option<String>,
 }
 
-/// What a forwarder tells of its fleet, at one moment.
+/// Membership as a forwarder knows it at one point in time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The form of this record.
+    /// Version of the report's format.
     pub version: u32,
-    /// When (microseconds of `CLOCK_BOOTTIME`: comparable between processes of one machine alone).
+    /// Time of the report (microseconds of `CLOCK_BOOTTIME`, which only processes of one machine share).
     pub at: Micros,
-    /// Until when the standing holds if nothing more is heard.
+    /// Time until which `state` holds if nothing more is received.
     #[serde(rename = "until")]
     pub state_until: Micros,
-    /// The forwarder's name.
+    /// Name of the forwarder.
     pub name: String,
-    /// Its boot and round.
+    /// Boot number and refutations of the forwarder.
     pub incarnation: String,
-    /// How it stands.
+    /// Membership state of the forwarder.
     #[serde(rename = "standing")]
     pub state: MembershipState,
-    /// What follows.
+    /// What the forwarder may do in this state.
     pub permits: Permits,
-    /// Its stable view.
+    /// ID of the forwarder's stable view.
     pub view: String,
-    /// Members in it.
+    /// Number of members in the stable view.
     #[serde(rename = "there")]
     pub view_size: usize,
-    /// Members in the roster.
+    /// Number of members in the roster.
     #[serde(rename = "roster")]
     pub roster_size: usize,
-    /// The roster's version and hash.
+    /// Version and hash of the roster.
     pub roster_version: String,
-    /// Among how many what all share is divided.
+    /// Number of senders that shared limits are divided among.
     pub senders: usize,
-    /// The members, itself too.
+    /// The members of the roster, the forwarder included, by name.
     pub members: Vec<MemberStatus>,
-    /// What came and was not believed: packets of strangers, impossible words, support that was not asked for,
+    /// Numbers of rejected inputs: packets of unknown senders, impossible updates, and support that was not
+    /// asked for or is of an earlier boot.
     #[serde(rename = "refused")]
     pub rejected: [u64; 3],
-    /// bytes that are no packet, and packets from addresses that are no member's.
+    /// Numbers of dropped packets: malformed ones, and those from addresses of no member.
     pub dropped: [u64; 2],
 }
 
 impl Status {
-    /// What a member knows at a moment. `dropped` counts what never reached it.
+    /// Reports the state of `core`. `dropped` counts packets that were dropped before they reached it.
     pub fn new(core: &Membership, now: Micros, dropped: [u64; 2]) -> Self {
         let roster = core.roster();
         let name = |id: MemberId| roster.name_of(id).unwrap_or("?").to_owned();
         let ago = |at: Micros| now.saturating_sub(at) / 1000;
-        let mine = roster.reference();
+        let local_roster = roster.reference();
         let voters: Vec<MemberId> = roster.voters().collect();
         let mut members: Vec<MemberStatus> = roster
             .members()
-            .map(|(id, seat)| {
+            .map(|(id, config)| {
                 let entry = core.members().find(|(other, _)| *other == id).map(|(_, e)| e);
                 let record = entry.map_or(core.local_record(), |e| e.record);
-                let other = entry.and_then(|e| e.roster).filter(|r| *r != mine);
+                let other_roster = entry.and_then(|e| e.roster).filter(|r| *r != local_roster);
                 MemberStatus {
-                    name: seat.name.clone(),
-                    zone: seat.zone.clone(),
+                    name: config.name.clone(),
+                    zone: config.zone.clone(),
                     votes: voters.contains(&id),
                     incarnation: record.incarnation.to_string(),
                     health: record.health,
@@ -103,12 +104,12 @@
                     source: entry.and_then(|e| e.source).map(name),
                     support_ms: core.support_until(id).saturating_sub(now) / 1000,
                     in_view: core.view().members.contains_key(&id),
-                    other_roster: other.map(|r| format!("{}:{:016x}", r.version, r.hash)),
+                    other_roster: other_roster.map(|r| format!("{}:{:016x}", r.version, r.hash)),
                 }
             })
             .collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let Rejected { unknown_senders: strangers, updates: words, support } = core.rejected();
+        let Rejected { unknown_senders, updates, support } = core.rejected();
         Status {
             version: 1,
             at: now,
@@ -120,41 +121,41 @@
             view: core.view().id.to_string(),
             view_size: core.view().members.len(),
             roster_size: roster.len(),
-            roster_version: format!("{}:{:016x}", mine.version, mine.hash),
+            roster_version: format!("{}:{:016x}", local_roster.version, local_roster.hash),
             senders: core.senders(now),
             members,
-            rejected: [strangers, words, support],
+            rejected: [unknown_senders, updates, support],
             dropped,
         }
     }
 }
 
-/// How one shared limit stands here, with its keeper's name.
+/// A shared limit as the member knows it, with its coordinator's name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NamedLimit {
-    /// The limit as it stands.
+    /// State of the limit.
     #[serde(flatten)]
     pub limit: LimitStatus,
-    /// Whom this member takes for its keeper.
+    /// Name of the member that this member takes for the limit's coordinator.
     #[serde(rename = "keeper_name")]
     pub coordinator_name: Option<String>,
 }
 
-/// How the shared limits stand here.
+/// The shared limits as the member knows them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LimitsStatus {
-    /// The form of this record.
+    /// Version of the report's format.
     pub version: u32,
-    /// When (microseconds of `CLOCK_BOOTTIME`).
+    /// Time of the report (microseconds of `CLOCK_BOOTTIME`).
     pub at: Micros,
-    /// Each of them.
+    /// State of each limit.
     pub limits: Vec<NamedLimit>,
-    /// Words that were not believed.
+    /// Numbers of refused payloads.
     pub refused: Refusals,
 }
 
 impl LimitsStatus {
-    /// What a member knows at a moment.
+    /// Reports the state of `sharing`.
     pub fn new(sharing: &SharedLimits, now: Micros, roster: &Roster) -> Self {
         let named = |limit: LimitStatus| {
             let name = limit.coordinator.and_then(|id| roster.name_of(MemberId(id)));
@@ -165,63 +166,64 @@
     }
 }
 
-/// What is known of a destination, with the name of whom it was told.
+/// A wait in force at a destination, with the name of its origin.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NamedWait {
-    /// What is known.
+    /// The wait.
     #[serde(flatten)]
     pub wait: KnownWait,
-    /// Who was told.
+    /// Name of the member that the destination asked to wait.
     pub origin_name: Option<String>,
 }
 
-/// A duty as it stands here, with names.
+/// A duty as the member knows it, with names of members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NamedDuty {
-    /// As it stands.
+    /// State of the duty.
     #[serde(flatten)]
     pub duty: DutyStatus,
-    /// Who holds it.
+    /// Name of the holder.
     pub holder_name: Option<String>,
-    /// To whom it is pinned.
+    /// Name of the member that the duty is pinned to.
     pub pinned_name: Option<String>,
-    /// Who should hold it, in this order.
+    /// Names of the members that should hold the duty, best first.
     #[serde(rename = "ranks_names")]
     pub ranked_names: Vec<String>,
-    /// It is held by the one that tells this, until then (microseconds of `CLOCK_BOOTTIME`).
+    /// Time until which the reporting member holds the duty (microseconds of `CLOCK_BOOTTIME`); `None` if it
+    /// does not hold it.
     pub held_until: Option<Micros>,
-    /// How its terms went lately, as far as this member was told, the last one first.
+    /// Recent events of the duty at this member, latest first.
     pub history: Vec<String>,
 }
 
-/// What a forwarder tells of duties.
+/// The duties as the member knows them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DutiesStatus {
-    /// The form of this record.
+    /// Version of the report's format.
     pub version: u32,
-    /// When (microseconds of `CLOCK_BOOTTIME`).
+    /// Time of the report (microseconds of `CLOCK_BOOTTIME`).
     pub at: Micros,
-    /// How its own vote stands.
+    /// Whether the member votes.
     pub vote: VoteStatus,
-    /// Each duty.
+    /// State of each duty.
     pub duties: Vec<NamedDuty>,
 }
 
 impl DutiesStatus {
-    /// What a member knows at a moment; `history` by duty.
+    /// Reports the state of `duties`. `history` holds recent events by duty ID, oldest first.
     pub fn new(duties: &Duties, now: Micros, roster: &Roster, history: &[(u64, String)]) -> Self {
         let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let ids: std::collections::BTreeMap<String, u64> =
             duties.duties().map(|(id, duty)| (duty.name.clone(), id)).collect();
         let named = |duty: DutyStatus| {
             let id = ids.get(&duty.name).copied().unwrap_or(0);
-            let told = history.iter().rev().filter(|(of, _)| *of == id).map(|(_, text)| text.clone());
+            let events = history.iter().rev().filter(|(other, _)| *other == id).map(|(_, text)| text.clone());
             NamedDuty {
                 holder_name: duty.holder.map(name),
                 pinned_name: duty.pinned.map(name),
                 ranked_names: duty.ranks.iter().map(|id| name(*id)).collect(),
                 held_until: duties.held(now, id).map(|held| held.until),
-                history: told.collect(),
+                history: events.collect(),
                 duty,
             }
         };
@@ -230,44 +232,45 @@
     }
 }
 
-/// How a destination stands that is not simply up, with names.
+/// A destination that is down or recovering, with names of members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NamedOutage {
-    /// How it stands.
+    /// State of the outage.
     #[serde(flatten)]
     pub outage: Outage,
-    /// Who found it down.
+    /// Names of the members that found the destination down.
     #[serde(rename = "found_names")]
     pub reporter_names: Vec<String>,
-    /// Who tries.
+    /// Name of the member that probes the destination.
     #[serde(rename = "tries_name")]
     pub prober_name: Option<String>,
 }
 
-/// What a forwarder knows of destinations.
+/// Waits and outages of destinations as the forwarder knows them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KnowledgeStatus {
-    /// The form of this record.
+    /// Version of the report's format.
     pub version: u32,
-    /// When (microseconds of `CLOCK_BOOTTIME`).
+    /// Time of the report (microseconds of `CLOCK_BOOTTIME`).
     pub at: Micros,
-    /// Waits that hold.
+    /// Waits in force.
     pub waits: Vec<NamedWait>,
-    /// Outages that hold, and returns.
+    /// Destinations that are down or recovering.
     #[serde(default)]
     pub outages: Vec<NamedOutage>,
-    /// It has just started, and nobody has told it yet what holds.
+    /// Whether the forwarder has just started and still waits for a complete snapshot from another member.
     #[serde(rename = "newcomer")]
     pub is_syncing: bool,
-    /// Words that were not believed.
+    /// Number of rejected reports.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl KnowledgeStatus {
-    /// What a member knows at a moment.
+    /// Reports the state of `waits` and `outages`. `is_syncing`: a snapshot is still
+    /// awaited.
     pub fn new(
-        knowledge: &WaitTable,
+        waits: &WaitTable,
         outages: &OutageDetector,
         now: Micros,
         roster: &Roster,
@@ -277,15 +280,22 @@
             let origin_name = roster.name_of(MemberId(wait.origin)).map(str::to_owned);
             NamedWait { wait, origin_name }
         };
-        let waits = knowledge.status(now).into_iter().map(named).collect();
+        let named_waits = waits.status(now).into_iter().map(named).collect();
         let name = |id: u64| roster.name_of(MemberId(id)).unwrap_or("?").to_owned();
         let named = |outage: Outage| NamedOutage {
             reporter_names: outage.reporters.iter().map(|(id, _)| name(*id)).collect(),
             prober_name: outage.prober.map(name),
             outage,
         };
-        let outages_now = outages.status(now).into_iter().map(named).collect();
-        let rejected = knowledge.rejected() + outages.rejected();
-        KnowledgeStatus { version: 1, at: now, waits, outages: outages_now, is_syncing, rejected }
+        let named_outages = outages.status(now).into_iter().map(named).collect();
+        let rejected = waits.rejected() + outages.rejected();
+        KnowledgeStatus {
+            version: 1,
+            at: now,
+            waits: named_waits,
+            outages: named_outages,
+            is_syncing,
+            rejected,
+        }
     }
 }
