--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -439,9 +439,11 @@
     fn rejects_a_roster_without_the_local_member_or_with_duplicates() {
         let other = "fleet version=1 { member \"n1\" address=\"127.0.0.1:7\"; }";
         assert!(diagnostics(other)[0].contains("not a member"));
-        let same_name = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n0\" address=\"127.0.0.1:8\"; }";
+        let same_name = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; \
+             member \"n0\" address=\"127.0.0.1:8\"; }";
         assert!(diagnostics(same_name)[0].contains("twice"), "{:?}", diagnostics(same_name));
-        let same_address = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; member \"n1\" address=\"127.0.0.1:7\"; }";
+        let same_address = "fleet version=1 { member \"n0\" address=\"127.0.0.1:7\"; \
+             member \"n1\" address=\"127.0.0.1:7\"; }";
         assert!(diagnostics(same_address)[0].contains("another member's address"));
         assert!(!diagnostics("fleet {").is_empty());
         assert!(!diagnostics("").is_empty());
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -55,7 +55,8 @@
             Err(reason) => {
                 let aside = file.path.with_extension("damaged");
                 tracing::error!(
-                    "identity: cannot use the stored boot number: {reason}; file renamed to {}, counting from 1",
+                    "identity: cannot use the stored boot number: {reason}; file renamed to {}, counting \
+                     from 1",
                     aside.display()
                 );
                 let _ = fs::rename(&file.path, &aside);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,4 +1,4 @@
-//! The task with the sockets: UDP for packets, TCP for whole views.
+//! The task that owns the sockets: UDP for packets, TCP for full membership states.
 
 use crate::clock;
 use crate::codec::{
@@ -35,76 +35,80 @@
 };
 use yarrowhill_rights::{Envelope, LeaseDurations, SharedLimits, retry_limit_id};
 
-/// Clock rates are held to be right within this part of 1.
-const DRIFT: f64 = 0.01;
-/// Packets that are taken in before other tasks of the process have their turn.
-const PACKETS_A_TURN: usize = 64;
-/// An exchange of whole views takes no longer.
-const EXCHANGE: Duration = Duration::from_secs(2);
-/// Exchanges at once that others began; further ones are closed unread.
-const EXCHANGES_MOST: usize = 4;
-/// Packets in which one that has just started is told what holds.
-const TOLD_PACKETS: usize = 8;
-/// Where outages are nobody's matter.
-const NO_RAMP: SlowStart = SlowStart { probe_interval: 1, warm_up: 1, initial_fraction: 1.0 };
-/// Terms whose end is remembered.
-const HISTORY_MOST: usize = 64;
-/// After a failure of a socket or of the disk.
-const PAUSE: Duration = Duration::from_millis(200);
-
-/// Why a forwarder can't be a member.
+/// Assumed bound on the relative error of clock rates.
+const MAX_CLOCK_DRIFT: f64 = 0.01;
+/// Maximum number of packets handled before other tasks of the process may run.
+const MAX_PACKETS_PER_WAKE: usize = 64;
+/// Time allowed for an exchange of full states.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent exchanges that other members began; further connections are closed unread.
+const MAX_INCOMING_SYNCS: usize = 4;
+/// Maximum number of packets of a snapshot for a member that has just started.
+const MAX_SNAPSHOT_PACKETS: usize = 8;
+/// Placeholder for a member that does not share outages and so never applies a slow start.
+const NO_SLOW_START: SlowStart = SlowStart { probe_interval: 1, warm_up: 1, initial_fraction: 1.0 };
+/// Maximum number of duty events in the history.
+const MAX_HISTORY: usize = 64;
+/// Delay after a failure of a socket or of the disk.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// A failure to start as a member of the fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The folder does not take the boot number.
+    /// The boot number cannot be written to the state folder.
     #[error(transparent)]
     Identity(#[from] IdentityError),
-    /// A socket can't be had.
-    #[error("{0}: {1}")]
+    /// The address cannot be bound.
+    #[error("cannot listen on {0}: {1}")]
     Socket(SocketAddr, #[source] io::Error),
-    /// The roster is not for this one, or does not follow.
+    /// The roster does not contain the member, or may not succeed the current one.
     #[error(transparent)]
     Roster(#[from] RosterError),
-    /// No chance is to be had.
-    #[error("no random number: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot get a random number: {0}")]
     Random(String),
 }
 
-/// What a member is started with.
+/// Options to start a [`Node`] with.
 #[derive(Debug)]
 pub struct Options<'a> {
-    /// Its name.
+    /// Name of the member.
     pub name: &'a str,
-    /// The fleet's document.
+    /// The fleet document.
     pub document: Document,
-    /// The folder that outlasts the process.
+    /// Folder for state that outlives the process.
     pub state_folder: &'a Path,
-    /// For random numbers.
+    /// Seed of the pseudorandom choices of protocols.
     pub seed: u64,
-    /// How destinations come back after an outage. None: nothing is told of outages, and each goes by its own.
+    /// Slow start of destinations after an outage. `None`: members do not report outages to each other, and
+    /// each one goes by its own calls.
     pub slow_start: Option<SlowStart>,
 }
 
 struct Shared {
     core: Mutex<Membership>,
-    sharing: Mutex<SharedLimits>,
-    knowledge: Mutex<WaitTable>,
+    limits: Mutex<SharedLimits>,
+    waits: Mutex<WaitTable>,
     outages: Mutex<OutageDetector>,
     duties: Mutex<Duties>,
-    /// How terms went lately, by duty.
+    /// Recent duty events by duty ID, oldest first.
     history: Mutex<VecDeque<(u64, String)>>,
-    /// Whether outages are told on, and kept.
-    judges: bool,
-    /// It asks the others for what holds, until somebody has told it all.
-    newcomer: Mutex<InitialSync>,
+    /// Whether outages are shared with other members and recorded.
+    share_outages: bool,
+    /// Requests a snapshot from other members until one has arrived completely.
+    initial_sync: Mutex<InitialSync>,
     addresses: Mutex<BTreeMap<MemberId, SocketAddr>>,
-    /// Something is to be sent, or a timer has changed.
-    stir: Notify,
+    /// Wakes the node's task, because there is something to send or a timer has changed.
+    wake: Notify,
     senders: watch::Sender<usize>,
-    spoilt: AtomicU64,
-    strangers: AtomicU64,
+    /// Number of malformed packets.
+    malformed: AtomicU64,
+    /// Number of packets that did not come from the address of their sender, and of connections that came
+    /// from unknown hosts or exceeded the maximum.
+    unknown_senders: AtomicU64,
 }
 
-/// What the rest of the process asks a member.
+/// Access to a [`Node`] for the rest of the process.
 #[derive(Clone)]
 pub struct Handle(Arc<Shared>);
 
@@ -113,92 +117,94 @@
         self.0.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this process may do now, by the clock as it is read here: to be asked at the last step before a byte
-    /// leaves. A process that was stopped since it last listened gets the answer of one that knows nothing.
+    /// Returns what this process may do now, by the clock read in this call. Call it as the last step before
+    /// sending: a process that was stopped since it last received anything then gets the permits of one that
+    /// knows nothing.
     pub fn permits(&self) -> Permits {
         self.core().permits(clock::now())
     }
 
-    fn sharing(&self) -> MutexGuard<'_, SharedLimits> {
-        self.0.sharing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn shared_limits(&self) -> MutexGuard<'_, SharedLimits> {
+        self.0.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn knowledge(&self) -> MutexGuard<'_, WaitTable> {
-        self.0.knowledge.lock().unwrap_or_else(PoisonError::into_inner)
+    fn waits(&self) -> MutexGuard<'_, WaitTable> {
+        self.0.waits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn newcomer(&self) -> MutexGuard<'_, InitialSync> {
-        self.0.newcomer.lock().unwrap_or_else(PoisonError::into_inner)
+    fn initial_sync(&self) -> MutexGuard<'_, InitialSync> {
+        self.0.initial_sync.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn outages(&self) -> MutexGuard<'_, OutageDetector> {
         self.0.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a call to a destination may begin now: by what others were told, by what all found of it, and by the limits
-    /// that all share; else after how long it is to ask again. To be asked at the last step before its first byte. `further`:
-    /// every message in it has been tried before. `again`: the call was held back before.
+    /// Decides whether a call to a destination may begin now, by the waits that the destination asked any
+    /// member for, by the outages that members found, and by the shared limits. Call it as the last step
+    /// before the first byte. `is_retry`: every message in the call has been attempted before.
+    /// `was_deferred`: this call was deferred before.
     ///
     /// # Errors
     ///
-    /// It is to be held back.
-    pub fn begin(&self, dest: u64, further: bool, again: bool) -> Result<(), Duration> {
+    /// The call must be deferred; the error is the delay after which to ask again.
+    pub fn begin(&self, dest: u64, is_retry: bool, was_deferred: bool) -> Result<(), Duration> {
         let now = clock::now();
         let limits = [dest, retry_limit_id(dest)];
-        let limits = &limits[..1 + usize::from(further)];
-        let wait = self.knowledge().wait(now, dest);
-        let leave = match wait {
+        let limits = &limits[..1 + usize::from(is_retry)];
+        let wait = self.waits().wait(now, dest);
+        let admission = match wait {
             Some(wait) => Admission::Defer(wait),
-            None if self.0.judges => self.outages().admit(now, dest),
+            None if self.0.share_outages => self.outages().admit(now, dest),
             None => Admission::Fraction(1.0),
         };
-        let part = match leave {
-            Admission::Fraction(part) => part,
+        let fraction = match admission {
+            Admission::Fraction(fraction) => fraction,
             Admission::Probe => 1.0,
             Admission::Defer(wait) => {
-                if !again {
-                    self.sharing().record_demand(now, limits);
+                if !was_deferred {
+                    self.shared_limits().record_demand(now, limits);
                 }
                 return Err(Duration::from_micros(wait));
             }
         };
-        let held = self.sharing().try_begin(now, limits, part, again);
-        if held.is_err() {
-            if leave == Admission::Probe {
+        let begun = self.shared_limits().try_begin(now, limits, fraction, was_deferred);
+        if begun.is_err() {
+            if admission == Admission::Probe {
                 self.outages().cancel_probe(dest);
             }
-            if !again {
-                self.0.stir.notify_one();
+            if !was_deferred {
+                self.0.wake.notify_one();
             }
         }
-        held.map_err(Duration::from_micros)
+        begun.map_err(Duration::from_micros)
     }
 
-    /// A destination told this forwarder to wait.
-    pub fn record_wait(&self, dest: u64, span: Duration) {
-        let (now, span) = (clock::now(), Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX));
-        self.knowledge().record_wait(now, dest, span);
-        if self.0.judges {
-            self.outages().record_shutdown(now, dest, now.saturating_add(span));
+    /// Records that a destination asked this forwarder to wait for `duration`.
+    pub fn record_wait(&self, dest: u64, duration: Duration) {
+        let (now, duration) = (clock::now(), Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX));
+        self.waits().record_wait(now, dest, duration);
+        if self.0.share_outages {
+            self.outages().record_shutdown(now, dest, now.saturating_add(duration));
         }
-        self.0.stir.notify_one();
+        self.0.wake.notify_one();
     }
 
-    /// A call has ended that began so long ago.
-    pub fn record_call_end(&self, dest: u64, took: Duration, how: CallOutcome) {
+    /// Records the outcome of a call that began `took` ago and has just ended.
+    pub fn record_call_end(&self, dest: u64, took: Duration, outcome: CallOutcome) {
         let now = clock::now();
         let began = now.saturating_sub(Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX));
-        if how == CallOutcome::Served {
-            self.knowledge().record_success(now, dest, began);
+        if outcome == CallOutcome::Served {
+            self.waits().record_success(now, dest, began);
         }
-        if self.0.judges {
+        if self.0.share_outages {
             let mut outages = self.outages();
-            outages.record_call_end(now, dest, began, how);
-            let news = outages.has_updates(now);
+            outages.record_call_end(now, dest, began, outcome);
+            let has_updates = outages.has_updates(now);
             drop(outages);
-            // What changes nothing wakes nobody.
-            if news {
-                self.0.stir.notify_one();
+            // Without updates there is nothing to send.
+            if has_updates {
+                self.0.wake.notify_one();
             }
         }
     }
@@ -207,8 +213,9 @@
         self.0.duties.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A duty that this process holds at this moment, by the clock as it is read here: to be asked again at the last step
-    /// before an act. One under whose name another lives holds nothing.
+    /// Returns a duty if this process holds it now, by the clock read in this call. Call it again as the last
+    /// step before each act under the duty. Returns `None` while another process runs under the same member
+    /// name, and once this member is leaving.
     pub fn held_duty(&self, name: &str) -> Option<HeldDuty> {
         let now = clock::now();
         if matches!(self.core().state(now), MembershipState::DuplicateName | MembershipState::Leaving) {
@@ -217,34 +224,35 @@
         self.duties().held(now, duties::Duty::new(name).id())
     }
 
-    /// Whether an act under a held duty may begin now, if it takes so long.
-    pub fn may_act(&self, held: &HeldDuty, takes: Duration) -> bool {
-        held.may_act(clock::now(), Micros::try_from(takes.as_micros()).unwrap_or(Micros::MAX))
+    /// Returns whether an act of the given duration may begin now under a held duty.
+    pub fn may_act(&self, held: &HeldDuty, duration: Duration) -> bool {
+        held.may_act(clock::now(), Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX))
     }
 
-    /// What has been done so far under a held duty.
+    /// Records the progress made under a held duty as its next step, and returns the step's number.
     ///
     /// # Errors
     ///
-    /// It is not held under that token any more, the step before is not decided, or it is too long.
+    /// The duty is no longer held under that token, the previous step is not decided yet, or `progress` is
+    /// too long.
     pub fn record_step(&self, held: &HeldDuty, progress: Vec<u8>) -> Result<u64, StepError> {
         let step = self.duties().record_step(clock::now(), held, progress);
-        self.0.stir.notify_one();
+        self.0.wake.notify_one();
         step
     }
 
-    /// An operator wants something of a duty. By name of the member, where one is meant.
+    /// Carries out an operator's request about a duty.
     ///
     /// # Errors
     ///
-    /// No such duty, nobody holds it, or the member is not there.
-    pub fn operator_request(&self, duty: &str, wish: OperatorRequest) -> Result<(), OperatorRequestError> {
-        let told = self.duties().operator_request(clock::now(), duty, wish);
-        self.0.stir.notify_one();
-        told
+    /// There is no such duty, it has no holder, or the member is not present.
+    pub fn operator_request(&self, duty: &str, request: OperatorRequest) -> Result<(), OperatorRequestError> {
+        let result = self.duties().operator_request(clock::now(), duty, request);
+        self.0.wake.notify_one();
+        result
     }
 
-    /// How duties stand here.
+    /// Reports the duties as this member knows them.
     pub fn duties_status(&self) -> DutiesStatus {
         let (roster, now) = (self.roster(), clock::now());
         let history = self.0.history.lock().unwrap_or_else(PoisonError::into_inner);
@@ -252,62 +260,64 @@
         DutiesStatus::new(&self.duties(), now, &roster, &history)
     }
 
-    /// What is known of destinations.
+    /// Reports the waits and outages of destinations as this member knows them.
     pub fn knowledge_status(&self) -> KnowledgeStatus {
         let (roster, now) = (self.roster(), clock::now());
-        let newcomer = self.newcomer().is_pending(now);
-        KnowledgeStatus::new(&self.knowledge(), &self.outages(), now, &roster, newcomer)
+        let is_syncing = self.initial_sync().is_pending(now);
+        KnowledgeStatus::new(&self.waits(), &self.outages(), now, &roster, is_syncing)
     }
 
-    /// How the shared limits stand here.
+    /// Reports the shared limits as this member knows them.
     pub fn limits_status(&self) -> LimitsStatus {
         let roster = self.roster();
-        let sharing = self.sharing();
-        LimitsStatus::new(&sharing, clock::now(), &roster)
+        let shared_limits = self.shared_limits();
+        LimitsStatus::new(&shared_limits, clock::now(), &roster)
     }
 
-    /// What is told to operators.
+    /// Reports the membership as this member knows it.
     pub fn status(&self) -> Status {
-        let dropped = [self.0.spoilt.load(Ordering::Relaxed), self.0.strangers.load(Ordering::Relaxed)];
+        let dropped =
+            [self.0.malformed.load(Ordering::Relaxed), self.0.unknown_senders.load(Ordering::Relaxed)];
         Status::new(&self.core(), clock::now(), dropped)
     }
 
-    /// Among how many what all share is divided, now and at each change.
+    /// Returns a channel with the number of senders that shared limits are divided among.
     pub fn senders(&self) -> watch::Receiver<usize> {
         self.0.senders.subscribe()
     }
 
-    /// Another document: another roster that follows, or the same one with other addresses.
+    /// Applies another fleet document, with a roster that may succeed the current one, or with the same
+    /// roster and other addresses or limits.
     ///
     /// # Errors
     ///
-    /// The roster does not follow.
+    /// The roster may not succeed the current one, or lacks this member; nothing is changed then.
     pub fn apply_document(&self, document: Document) -> Result<(), RosterError> {
         let mut core = self.core();
         if document.roster.reference() != core.roster().reference() {
             core.change_roster(clock::now(), document.roster)?;
         }
-        self.sharing().set_limits(clock::now(), core.roster().len(), &document.limits);
-        self.duties().set_voters(clock::now(), electorate(core.roster()));
+        self.shared_limits().set_limits(clock::now(), core.roster().len(), &document.limits);
+        self.duties().set_voters(clock::now(), voter_set(core.roster()));
         *self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner) = document.addresses;
-        self.0.stir.notify_one();
+        self.0.wake.notify_one();
         Ok(())
     }
 
-    /// The process is to end: the others hear it from itself.
+    /// Announces to the other members that this process is shutting down, and releases its duties.
     pub fn leave(&self) {
         self.core().leave(clock::now());
         self.duties().release_all(clock::now(), Reason::Leaving);
-        self.0.stir.notify_one();
+        self.0.wake.notify_one();
     }
 
-    /// The roster in force.
+    /// Returns the roster in force.
     pub fn roster(&self) -> Roster {
         self.core().roster().clone()
     }
 
-    /// One line for each change of a duty, and its place in the history.
-    fn duty_event(&self, event: &duties::Event) {
+    /// Logs a change of a duty and adds it to the history.
+    fn log_duty_event(&self, event: &duties::Event) {
         let name = |id: u64| {
             let duties = self.duties();
             duties
@@ -315,69 +325,70 @@
                 .find(|(other, _)| *other == id)
                 .map_or("?".to_owned(), |(_, duty)| duty.name.clone())
         };
-        let (duty, told) = match *event {
+        let (duty, text) = match *event {
             duties::Event::Acquired { duty, token, step } => {
-                (duty, format!("taken under token {token} after {step} steps"))
+                (duty, format!("acquired under token {token} after {step} steps"))
             }
             duties::Event::Expired { duty, token } => {
-                (duty, format!("lost under token {token}: its lease ended"))
+                (duty, format!("lost under token {token}: lease expired"))
             }
             duties::Event::Released { duty, token, reason } => {
-                (duty, format!("given up under token {token}: {reason:?}"))
+                (duty, format!("released under token {token}: {reason:?}"))
             }
             duties::Event::StepDecided { .. } => return,
-            duties::Event::VotingStarted => return tracing::info!("duties: this voter's word counts"),
+            duties::Event::VotingStarted => return tracing::info!("duties: this member votes"),
             duties::Event::VotingSuspended => {
                 return tracing::warn!(
-                    "duties: this voter may have forgotten what it promised, and learns first"
+                    "duties: this member may have lost promises and does not vote until it has recovered"
                 );
             }
         };
-        tracing::info!(duty = name(duty), "duties: {told}");
+        tracing::info!(duty = name(duty), "duties: {text}");
         let mut history = self.0.history.lock().unwrap_or_else(PoisonError::into_inner);
-        if history.len() >= HISTORY_MOST {
+        if history.len() >= MAX_HISTORY {
             history.pop_front();
         }
-        history.push_back((duty, told));
+        history.push_back((duty, text));
     }
 
     fn address(&self, id: MemberId) -> Option<SocketAddr> {
         self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(&id).copied()
     }
 
-    fn known(&self, from: SocketAddr) -> Option<MemberId> {
+    fn member_at(&self, from: SocketAddr) -> Option<MemberId> {
         let addresses = self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner);
         addresses.iter().find(|(_, a)| **a == from).map(|(id, _)| *id)
     }
 
-    fn known_host(&self, from: SocketAddr) -> bool {
+    fn is_member_host(&self, from: SocketAddr) -> bool {
         let addresses = self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner);
         addresses.values().any(|a| a.ip() == from.ip())
     }
 }
 
-/// A member with its sockets.
+/// A member of the fleet with its sockets and files.
 pub struct Node {
     handle: Handle,
     udp: UdpSocket,
     tcp: TcpListener,
     identity: IdentityFile,
     registers: RegisterFile,
-    /// Of which view and permits the duties were told who is there.
-    there_of: Option<(yarrowhill_membership::ViewId, bool, u64)>,
-    /// A boot that the disk has not taken yet, and when it is tried again.
-    owed: Option<(u64, Micros)>,
-    /// Between two rounds of news, and when the next one is due.
-    round: Micros,
-    next_news: Micros,
+    /// View, permission to hold duties and change count that the duties' candidates were last set from.
+    candidates_basis: Option<(yarrowhill_membership::ViewId, bool, u64)>,
+    /// Boot number that could not be written yet, and the time of the next attempt.
+    pending_boot: Option<(u64, Micros)>,
+    /// Interval between two rounds of updates about destinations.
+    update_interval: Micros,
+    /// Time of the next round.
+    next_update: Micros,
 }
 
 impl Node {
-    /// Binds the sockets and counts the boot; speaks only once it runs.
+    /// Binds the sockets and increments the boot number. Nothing is sent before [`Node::run`].
     ///
     /// # Errors
     ///
-    /// The sockets or the folder can't be had, or the roster lacks this member.
+    /// A socket cannot be bound, the state folder cannot be written, or the roster lacks this member.
     pub async fn start(options: Options<'_>) -> Result<Self, FleetError> {
         let Options { name, document, state_folder, seed, slow_start } = options;
         let Document { roster, listen, addresses, timing, limits, duties, .. } = document;
@@ -385,144 +396,157 @@
         let udp = UdpSocket::bind(listen).await.map_err(failed)?;
         let tcp = TcpListener::bind(listen).await.map_err(failed)?;
         let (identity, boot) = IdentityFile::open_next_boot(state_folder, name)?;
-        // By the machine's chance, not by the seed: two processes under one name may have been told the same.
-        let life = InstanceId(getrandom::u64().map_err(|e| FleetError::Random(e.to_string()))?);
+        // Not derived from the seed, because two processes under one name may be configured with the same
+        // seed.
+        let instance = InstanceId(getrandom::u64().map_err(|e| FleetError::Random(e.to_string()))?);
         let senders = watch::Sender::new(roster.len());
         let (now, members) = (clock::now(), roster.len());
-        let spans = LeaseDurations::new(timing.period, DRIFT);
-        let mut sharing = SharedLimits::new(now, MemberId::from_name(name).0, life.0, members, spans);
-        sharing.set_limits(now, members, &limits);
-        let (registers, found) = RegisterFile::open(state_folder);
-        let me = duties::ProcessId { member: MemberId::from_name(name).0, instance: life.0 };
-        let lease = duties::Lease::new(timing.lease, DRIFT);
-        let duties = Duties::new(now, me, boot, lease, found, duties, electorate(&roster));
-        let core = Membership::new(now, roster, name, boot, life, timing, seed)?;
-        let round = spans.round_interval();
+        let durations = LeaseDurations::new(timing.period, MAX_CLOCK_DRIFT);
+        let mut shared_limits =
+            SharedLimits::new(now, MemberId::from_name(name).0, instance.0, members, durations);
+        shared_limits.set_limits(now, members, &limits);
+        let (registers, stored) = RegisterFile::open(state_folder);
+        let local = duties::ProcessId { member: MemberId::from_name(name).0, instance: instance.0 };
+        let lease = duties::Lease::new(timing.lease, MAX_CLOCK_DRIFT);
+        let duties = Duties::new(now, local, boot, lease, stored, duties, voter_set(&roster));
+        let core = Membership::new(now, roster, name, boot, instance, timing, seed)?;
+        let update_interval = durations.round_interval();
         let handle = Handle(Arc::new(Shared {
             core: Mutex::new(core),
-            sharing: Mutex::new(sharing),
-            knowledge: Mutex::new(WaitTable::new(MemberId::from_name(name).0, boot, seed ^ life.0)),
+            limits: Mutex::new(shared_limits),
+            waits: Mutex::new(WaitTable::new(MemberId::from_name(name).0, boot, seed ^ instance.0)),
             outages: Mutex::new(OutageDetector::new(
                 MemberId::from_name(name).0,
                 boot,
-                slow_start.unwrap_or(NO_RAMP),
+                slow_start.unwrap_or(NO_SLOW_START),
             )),
-            judges: slow_start.is_some(),
+            share_outages: slow_start.is_some(),
             duties: Mutex::new(duties),
             history: Mutex::default(),
-            newcomer: Mutex::new(InitialSync::new(now + timing.max_settle)),
+            initial_sync: Mutex::new(InitialSync::new(now + timing.max_settle)),
             addresses: Mutex::new(addresses),
-            stir: Notify::new(),
+            wake: Notify::new(),
             senders,
-            spoilt: AtomicU64::new(0),
-            strangers: AtomicU64::new(0),
+            malformed: AtomicU64::new(0),
+            unknown_senders: AtomicU64::new(0),
         }));
-        Ok(Node { handle, udp, tcp, identity, registers, there_of: None, owed: None, round, next_news: 0 })
-    }
-
-    /// For the rest of the process.
+        Ok(Node {
+            handle,
+            udp,
+            tcp,
+            identity,
+            registers,
+            candidates_basis: None,
+            pending_boot: None,
+            update_interval,
+            next_update: 0,
+        })
+    }
+
+    /// Returns a handle for the rest of the process.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Takes part until the task is dropped.
+    /// Runs the member until the task is dropped.
     pub async fn run(mut self) {
-        let room = Arc::new(Semaphore::new(EXCHANGES_MOST));
-        // Some room more than a packet may have: longer ones are seen to be longer.
+        let sync_permits = Arc::new(Semaphore::new(MAX_INCOMING_SYNCS));
+        // Longer than the maximum, so that a packet that is too long is not truncated to a valid length.
         let mut buffer = [0u8; MAX_PACKET_BYTES + 8];
         loop {
-            self.carry_out().await;
-            let wake = self.handle.core().next_wake().min(self.handle.sharing().next_wake());
-            let wake = wake.min(if self.has_news() { self.next_news } else { Micros::MAX });
+            self.process_outputs().await;
+            let wake = self.handle.core().next_wake().min(self.handle.shared_limits().next_wake());
+            let wake = wake.min(if self.has_updates() { self.next_update } else { Micros::MAX });
             let wake = wake.min(self.handle.duties().next_wake());
-            let wake = wake.min(self.owed.map_or(Micros::MAX, |(_, at)| at));
-            let pause = Duration::from_micros(wake.saturating_sub(clock::now()));
+            let wake = wake.min(self.pending_boot.map_or(Micros::MAX, |(_, at)| at));
+            let until_wake = Duration::from_micros(wake.saturating_sub(clock::now()));
             tokio::select! {
-                got = self.udp.recv_from(&mut buffer) => {
-                    match got {
-                        Ok((length, from)) => self.datagram(&buffer[..length], from).await,
-                        // A peer that is gone shows here as refused; anything worse must not spin.
+                received = self.udp.recv_from(&mut buffer) => {
+                    match received {
+                        Ok((length, from)) => self.handle_datagram(&buffer[..length], from).await,
+                        // ICMP errors of peers that are down are reported here. Other errors must not make
+                        // the loop spin.
                         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {}
                         Err(e) => {
-                            tracing::warn!("fleet: {e}");
-                            sleep(PAUSE).await;
+                            tracing::warn!("fleet: cannot receive packets: {e}");
+                            sleep(RETRY_DELAY).await;
                         }
                     }
-                    for _ in 1..PACKETS_A_TURN {
+                    for _ in 1..MAX_PACKETS_PER_WAKE {
                         let Ok((length, from)) = self.udp.try_recv_from(&mut buffer) else { break };
-                        self.datagram(&buffer[..length], from).await;
+                        self.handle_datagram(&buffer[..length], from).await;
                     }
                     if self.handle.core().next_wake() <= clock::now() {
                         self.handle.core().tick(clock::now());
                     }
                 }
-                got = self.tcp.accept() => match got {
-                    Ok((stream, from)) => self.exchange_asked(stream, from, &room),
+                accepted = self.tcp.accept() => match accepted {
+                    Ok((stream, from)) => self.accept_sync(stream, from, &sync_permits),
                     Err(e) => {
-                        tracing::warn!("fleet: {e}");
-                        sleep(PAUSE).await;
+                        tracing::warn!("fleet: cannot accept connections: {e}");
+                        sleep(RETRY_DELAY).await;
                     }
                 },
-                () = self.handle.0.stir.notified() => {}
-                () = sleep(pause) => self.handle.core().tick(clock::now()),
+                () = self.handle.0.wake.notified() => {}
+                () = sleep(until_wake) => self.handle.core().tick(clock::now()),
             }
         }
     }
 
-    async fn datagram(&self, bytes: &[u8], from: SocketAddr) {
-        // Before anything is read: a stranger costs one look.
-        let Some(id) = self.handle.known(from) else {
-            self.handle.0.strangers.fetch_add(1, Ordering::Relaxed);
+    async fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
+        // Checked before decoding, so that a packet of an unknown sender costs one lookup.
+        let Some(id) = self.handle.member_at(from) else {
+            self.handle.0.unknown_senders.fetch_add(1, Ordering::Relaxed);
             return;
         };
         if is_waits(bytes) {
             return match decode_waits(bytes) {
-                Ok(news) => self.news(id, &news).await,
-                Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+                Ok(update) => self.handle_waits(id, &update).await,
+                Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
             };
         }
         if is_outages(bytes) {
             return match decode_outages(bytes) {
-                Ok(findings) => self.heard_findings(&findings),
-                Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+                Ok(reports) => self.record_outages(&reports),
+                Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
             };
         }
         if is_duty(bytes) {
             return match decode_duty(bytes) {
-                Ok(letter) => self.duty(id, letter),
-                Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+                Ok(envelope) => self.handle_duty(id, envelope),
+                Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
             };
         }
         if is_snapshot_part(bytes) {
             return match decode_snapshot_part(bytes) {
-                Ok(told) => self.told(id, &told),
-                Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+                Ok(part) => self.handle_snapshot_part(id, &part),
+                Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
             };
         }
         if is_rights(bytes) {
             return match decode_rights(bytes) {
-                Ok(letter) => {
-                    let answer = self.handle.sharing().handle(clock::now(), id.0, &letter);
+                Ok(envelope) => {
+                    let answer = self.handle.shared_limits().handle(clock::now(), id.0, &envelope);
                     if let Some(answer) = answer {
-                        self.post(id, &answer).await;
+                        self.send_rights(id, &answer).await;
                     }
                 }
-                Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+                Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
             };
         }
         match decode::<Packet>(bytes, MAX_PACKET_BYTES) {
             Ok(packet) if packet.header.from == id => self.handle.core().handle(clock::now(), packet),
-            Ok(_) => drop(self.handle.0.strangers.fetch_add(1, Ordering::Relaxed)),
-            Err(_) => drop(self.handle.0.spoilt.fetch_add(1, Ordering::Relaxed)),
+            Ok(_) => drop(self.handle.0.unknown_senders.fetch_add(1, Ordering::Relaxed)),
+            Err(_) => drop(self.handle.0.malformed.fetch_add(1, Ordering::Relaxed)),
         }
     }
 
-    /// Does what the core wants done.
-    async fn carry_out(&mut self) {
-        if let Some((boot, at)) = self.owed
+    /// Carries out the outputs of all protocols, and the actions that are due.
+    async fn process_outputs(&mut self) {
+        if let Some((boot, at)) = self.pending_boot
             && clock::now() >= at
         {
-            self.persist(boot);
+            self.persist_boot(boot);
         }
         loop {
             let outputs = self.handle.core().take_outputs();
@@ -531,48 +555,48 @@
             }
             for output in outputs {
                 match output {
-                    Output::Send { to, packet } => self.send(to, &packet).await,
-                    Output::Sync { with } => self.exchange(with),
-                    Output::Persist { boot } => self.persist(boot),
-                    Output::Event(event) => tell(&self.handle, &event),
+                    Output::Send { to, packet } => self.send_packet(to, &packet).await,
+                    Output::Sync { with } => self.sync_with(with),
+                    Output::Persist { boot } => self.persist_boot(boot),
+                    Output::Event(event) => log_event(&self.handle, &event),
                 }
             }
         }
         let now = clock::now();
-        if now >= self.handle.sharing().next_wake() {
-            // One that is alone in its view, or has none yet, keeps for itself.
+        if now >= self.handle.shared_limits().next_wake() {
+            // A member that is alone in its view, or has none yet, is its own coordinator.
             let view: Vec<u64> = self.handle.core().view().members.keys().map(|id| id.0).collect();
-            let letters = self.handle.sharing().tick(now, &view);
-            for (to, letter) in letters {
-                self.post(MemberId(to), &letter).await;
+            let envelopes = self.handle.shared_limits().tick(now, &view);
+            for (to, envelope) in envelopes {
+                self.send_rights(MemberId(to), &envelope).await;
             }
         }
-        self.do_duties().await;
-        self.tell_news().await;
+        self.process_duties().await;
+        self.send_updates().await;
         let senders = self.handle.core().senders(clock::now());
         self.handle.0.senders.send_if_modified(|s| std::mem::replace(s, senders) != senders);
     }
 
-    /// A letter about duties has come. What it wants is done when the loop turns.
-    fn duty(&self, from: MemberId, letter: duties::Envelope) {
+    /// Handles an envelope about duties. Its effects are carried out by [`Self::process_duties`].
+    fn handle_duty(&self, from: MemberId, envelope: duties::Envelope) {
         let now = clock::now();
-        if matches!(letter.payload, duties::Payload::RecoveryRequest { .. }) {
-            // What is remembered of whoever starts.
-            let known = self.handle.core().member(from).map(|e| e.record);
-            if let Some(record) = known {
+        if matches!(envelope.payload, duties::Payload::RecoveryRequest { .. }) {
+            // The sender has just started: the answer names its latest process that this member knows of.
+            let record = self.handle.core().member(from).map(|e| e.record);
+            if let Some(record) = record {
                 self.handle.duties().record_instance(from.0, record.incarnation.boot, record.instance.0);
             }
         }
-        self.handle.duties().handle(now, from.0, letter);
+        self.handle.duties().handle(now, from.0, envelope);
     }
 
-    /// Tells the duties who is there, and does what they want done: what is to be on disk first, and if it can't be, nothing that
-    /// stands behind it.
-    async fn do_duties(&mut self) {
+    /// Updates the candidates of duties and carries out the duties' outputs in order. If an output cannot be
+    /// written to disk, the outputs after it are dropped, because they may depend on it.
+    async fn process_duties(&mut self) {
         if self.handle.duties().is_empty() {
             return;
         }
-        self.tell_duties();
+        self.update_candidates();
         let now = clock::now();
         if now >= self.handle.duties().next_wake() {
             self.handle.duties().tick(now);
@@ -582,12 +606,12 @@
             if outputs.is_empty() {
                 return;
             }
-            let mut own = Vec::new();
+            let mut to_local = Vec::new();
             for output in outputs {
                 match output {
                     duties::Output::Persist(stored) => {
                         if let Err(e) = self.registers.write(&stored) {
-                            tracing::error!("duties: not on disk, and so not promised: {e}");
+                            tracing::error!("duties: cannot write registers, promise not sent: {e}");
                             break;
                         }
                         self.handle.duties().persisted();
@@ -595,291 +619,291 @@
                     duties::Output::Erase => {
                         if let Err(e) = self.registers.delete() {
                             tracing::error!(
-                                "duties: {e}; a further start would believe what this one doubts"
+                                "duties: cannot delete stored registers, a later start would trust outdated \
+                                 ones: {e}"
                             );
                         }
                     }
-                    duties::Output::Send { to, envelope: letter }
+                    duties::Output::Send { to, envelope }
                         if MemberId(to) == self.handle.core().local_id() =>
                     {
-                        own.push(letter)
+                        to_local.push(envelope)
                     }
-                    duties::Output::Send { to, envelope: letter } => {
-                        self.send_duty(MemberId(to), &letter).await
-                    }
-                    duties::Output::Event(event) => self.handle.duty_event(&event),
+                    duties::Output::Send { to, envelope } => self.send_duty(MemberId(to), &envelope).await,
+                    duties::Output::Event(event) => self.handle.log_duty_event(&event),
                 }
             }
-            for letter in own {
-                let me = letter.from.member;
-                self.handle.duties().handle(clock::now(), me, letter);
+            for envelope in to_local {
+                let local = envelope.from.member;
+                self.handle.duties().handle(clock::now(), local, envelope);
             }
         }
     }
 
-    fn tell_duties(&mut self) {
+    fn update_candidates(&mut self) {
         let core = self.handle.core();
         let now = clock::now();
-        let may = core.permits(now).hold_duty;
+        let may_hold = core.permits(now).hold_duty;
         let view = core.view();
-        let of = (view.id, may, core.change_count());
-        if self.there_of == Some(of) {
+        let basis = (view.id, may_hold, core.change_count());
+        if self.candidates_basis == Some(basis) {
             return;
         }
-        self.there_of = Some(of);
+        self.candidates_basis = Some(basis);
         let roster = core.roster();
         let zones: BTreeMap<MemberId, String> =
-            roster.members().map(|(id, s)| (id, s.zone.clone())).collect();
+            roster.members().map(|(id, config)| (id, config.zone.clone())).collect();
         let candidate = |id: &MemberId| Candidate {
             member: id.0,
             zone: zones.get(id).cloned().unwrap_or_default(),
             degraded: core.member(*id).is_some_and(|e| e.record.health == Health::Suspect),
         };
-        let there = view.members.keys().map(candidate).collect();
-        self.handle.duties().set_candidates(now, there, may);
+        let candidates = view.members.keys().map(candidate).collect();
+        self.handle.duties().set_candidates(now, candidates, may_hold);
     }
 
-    async fn send_duty(&self, to: MemberId, letter: &duties::Envelope) {
-        self.put(to, encode_duty(letter)).await;
+    async fn send_duty(&self, to: MemberId, envelope: &duties::Envelope) {
+        self.send_bytes(to, encode_duty(envelope)).await;
     }
 
-    async fn send(&self, to: MemberId, packet: &Packet) {
-        self.put(to, encode(packet, MAX_PACKET_BYTES)).await;
+    async fn send_packet(&self, to: MemberId, packet: &Packet) {
+        self.send_bytes(to, encode(packet, MAX_PACKET_BYTES)).await;
     }
 
-    /// Sends bytes to a member. What the network does not take is lost, as on the way.
-    async fn put(&self, to: MemberId, bytes: Result<Vec<u8>, CodecError>) {
-        let Some(at) = self.handle.address(to) else { return };
+    /// Sends an encoded packet to a member. A send error is ignored, like a packet lost in the network.
+    async fn send_bytes(&self, to: MemberId, bytes: Result<Vec<u8>, CodecError>) {
+        let Some(address) = self.handle.address(to) else { return };
         match bytes {
-            Ok(bytes) => drop(self.udp.send_to(&bytes, at).await),
-            Err(e) => tracing::error!("fleet: not sent: {e}"),
+            Ok(bytes) => drop(self.udp.send_to(&bytes, address).await),
+            Err(e) => tracing::error!("fleet: cannot encode a packet: {e}"),
         }
     }
 
-    fn is_newcomer(&self) -> bool {
-        self.handle.newcomer().is_pending(clock::now())
+    fn is_syncing(&self) -> bool {
+        self.handle.initial_sync().is_pending(clock::now())
     }
 
-    fn has_news(&self) -> bool {
+    fn has_updates(&self) -> bool {
         let now = clock::now();
-        self.is_newcomer()
-            || self.handle.knowledge().has_updates(now)
-            || self.handle.outages().has_updates(now)
+        self.is_syncing() || self.handle.waits().has_updates(now) || self.handle.outages().has_updates(now)
     }
 
-    /// Passes on what is fresh, to a few of those that are there; one that has just started asks them for all.
-    async fn tell_news(&mut self) {
+    /// Sends fresh reports about destinations to a few present members, and requests a snapshot from them
+    /// while this member is syncing.
+    async fn send_updates(&mut self) {
         let now = clock::now();
-        if now < self.next_news || !self.has_news() {
+        if now < self.next_update || !self.has_updates() {
             return;
         }
-        self.next_news = now + self.round;
-        let (there, boot) = {
+        self.next_update = now + self.update_interval;
+        let (present, boot) = {
             let core = self.handle.core();
-            let there: Vec<u64> =
+            let present: Vec<u64> =
                 core.members().filter(|(_, e)| e.record.health.is_present()).map(|(id, _)| id.0).collect();
-            (there, core.local_record().incarnation.boot)
+            (present, core.local_record().incarnation.boot)
         };
-        if there.is_empty() {
+        if present.is_empty() {
             return;
         }
-        let (peers, words) = {
-            let mut knowledge = self.handle.knowledge();
-            knowledge.set_boot(boot);
-            (knowledge.sample_peers(&there), knowledge.updates_to_send(now, MAX_REPORTS, there.len() + 1))
+        let (peers, reports) = {
+            let mut waits = self.handle.waits();
+            waits.set_boot(boot);
+            (waits.sample_peers(&present), waits.updates_to_send(now, MAX_REPORTS, present.len() + 1))
         };
-        let findings = {
+        let outage_reports = {
             let mut outages = self.handle.outages();
-            outages.set_membership(boot, there.len() + 1);
-            outages.updates_to_send(now, MAX_REPORTS, there.len() + 1)
+            outages.set_membership(boot, present.len() + 1);
+            outages.updates_to_send(now, MAX_REPORTS, present.len() + 1)
         };
-        let news = WaitUpdate { request_snapshot: self.is_newcomer(), reports: words };
+        let update = WaitUpdate { request_snapshot: self.is_syncing(), reports };
         for to in peers {
-            if news.request_snapshot || !news.reports.is_empty() {
-                self.send_news(MemberId(to), &news).await;
+            if update.request_snapshot || !update.reports.is_empty() {
+                self.send_waits(MemberId(to), &update).await;
             }
-            if !findings.is_empty() {
-                self.send_findings(MemberId(to), &findings).await;
+            if !outage_reports.is_empty() {
+                self.send_outages(MemberId(to), &outage_reports).await;
             }
         }
     }
 
-    async fn send_findings(&self, to: MemberId, findings: &[OutageReport]) {
-        self.put(to, encode_outages(findings)).await;
+    async fn send_outages(&self, to: MemberId, reports: &[OutageReport]) {
+        self.send_bytes(to, encode_outages(reports)).await;
     }
 
-    async fn send_news(&self, to: MemberId, news: &WaitUpdate) {
-        self.put(to, encode_waits(news)).await;
+    async fn send_waits(&self, to: MemberId, update: &WaitUpdate) {
+        self.send_bytes(to, encode_waits(update)).await;
     }
 
-    async fn news(&self, from: MemberId, news: &WaitUpdate) {
-        self.heard_waits(&news.reports);
-        if news.request_snapshot {
-            self.tell_all(from).await;
+    async fn handle_waits(&self, from: MemberId, update: &WaitUpdate) {
+        self.record_waits(&update.reports);
+        if update.request_snapshot {
+            self.send_snapshot(from).await;
         }
     }
 
-    fn heard_waits(&self, words: &[WaitReport]) {
+    fn record_waits(&self, reports: &[WaitReport]) {
         let now = clock::now();
-        let mut knowledge = self.handle.knowledge();
-        for word in words.iter().take(MAX_REPORTS) {
-            knowledge.receive(now, word);
-            if let Some(wait) = knowledge.wait(now, word.dest).filter(|_| self.handle.0.judges) {
-                self.handle.outages().record_shutdown(now, word.dest, now.saturating_add(wait));
+        let mut waits = self.handle.waits();
+        for report in reports.iter().take(MAX_REPORTS) {
+            waits.receive(now, report);
+            if let Some(wait) = waits.wait(now, report.dest).filter(|_| self.handle.0.share_outages) {
+                self.handle.outages().record_shutdown(now, report.dest, now.saturating_add(wait));
             }
         }
     }
 
-    fn heard_findings(&self, findings: &[OutageReport]) {
-        if self.handle.0.judges {
+    fn record_outages(&self, reports: &[OutageReport]) {
+        if self.handle.0.share_outages {
             let now = clock::now();
             let mut outages = self.handle.outages();
-            findings.iter().take(MAX_REPORTS).for_each(|word| outages.receive(now, word));
+            reports.iter().take(MAX_REPORTS).for_each(|report| outages.receive(now, report));
         }
     }
 
-    /// Everything that holds, for one that has just started.
-    async fn tell_all(&self, to: MemberId) {
-        let (now, most) = (clock::now(), MAX_PART_REPORTS * TOLD_PACKETS);
-        let waits = self.handle.knowledge().snapshot(now, most);
-        let findings = self.handle.outages().snapshot(now, most);
-        for part in SnapshotPart::split(&waits, &findings) {
-            self.put(to, encode_snapshot_part(&part)).await;
+    /// Sends everything that is in force to a member that has just started.
+    async fn send_snapshot(&self, to: MemberId) {
+        let (now, max) = (clock::now(), MAX_PART_REPORTS * MAX_SNAPSHOT_PACKETS);
+        let waits = self.handle.waits().snapshot(now, max);
+        let outages = self.handle.outages().snapshot(now, max);
+        for part in SnapshotPart::split(&waits, &outages) {
+            self.send_bytes(to, encode_snapshot_part(&part)).await;
         }
-        // A build that knows no parts takes any news for its answer.
-        self.send_news(
-            to,
-            &WaitUpdate { request_snapshot: false, reports: waits.into_iter().take(MAX_REPORTS).collect() },
-        )
-        .await;
+        // Older builds do not know snapshot parts and take any wait update for the answer.
+        let reports = waits.into_iter().take(MAX_REPORTS).collect();
+        self.send_waits(to, &WaitUpdate { request_snapshot: false, reports }).await;
     }
 
-    fn told(&self, from: MemberId, told: &SnapshotPart) {
-        self.heard_waits(&told.waits);
-        self.heard_findings(&told.outages);
-        self.handle.newcomer().record_part(from.0, told.part, told.parts);
+    fn handle_snapshot_part(&self, from: MemberId, part: &SnapshotPart) {
+        self.record_waits(&part.waits);
+        self.record_outages(&part.outages);
+        self.handle.initial_sync().record_part(from.0, part.part, part.parts);
     }
 
-    async fn post(&self, to: MemberId, letter: &Envelope) {
-        self.put(to, encode_rights(letter)).await;
+    async fn send_rights(&self, to: MemberId, envelope: &Envelope) {
+        self.send_bytes(to, encode_rights(envelope)).await;
     }
 
-    fn persist(&mut self, boot: u64) {
-        // Others know of a later life than its folder: what that promised as a voter stands nowhere here.
+    fn persist_boot(&mut self, boot: u64) {
+        // Other members know a later process under this name than the state folder does, so promises that it
+        // made as a voter may be missing here.
         self.handle.duties().suspend_voting(clock::now());
         if let Err(e) = self.registers.delete() {
-            tracing::error!("duties: {e}; a further start would believe what this one doubts");
+            tracing::error!(
+                "duties: cannot delete stored registers, a later start would trust outdated \
+                 ones: {e}"
+            );
         }
         match self.identity.write(boot) {
             Ok(()) => {
-                self.owed = None;
-                tracing::info!(boot, "fleet: an earlier word of this name was newer; counted up");
+                self.pending_boot = None;
+                tracing::info!(boot, "fleet: other members knew a higher boot number of this name; raised");
                 self.handle.core().boot_persisted(clock::now(), boot);
             }
             Err(e) => {
-                if self.owed.is_none() {
-                    tracing::error!("fleet: silent until the boot number is on disk: {e}");
+                if self.pending_boot.is_none() {
+                    tracing::error!("fleet: sending nothing until the boot number is written: {e}");
                 }
-                self.owed = Some((boot, clock::now() + PAUSE.as_micros() as Micros));
+                self.pending_boot = Some((boot, clock::now() + RETRY_DELAY.as_micros() as Micros));
             }
         }
     }
 
-    /// Exchanges whole views with a member, beside everything else.
-    fn exchange(&self, with: MemberId) {
-        let Some(at) = self.handle.address(with) else { return };
+    /// Starts an exchange of full states with a member, as a task of its own.
+    fn sync_with(&self, with: MemberId) {
+        let Some(address) = self.handle.address(with) else { return };
         let handle = self.handle.clone();
         tokio::spawn(async move {
             let exchange = async {
-                let mut stream = TcpStream::connect(at).await?;
-                let own = handle.core().full_state();
-                write_whole(&mut stream, &own).await?;
-                read_whole(&mut stream).await
+                let mut stream = TcpStream::connect(address).await?;
+                let local = handle.core().full_state();
+                write_full_state(&mut stream, &local).await?;
+                read_full_state(&mut stream).await
             };
-            if let Ok(Ok(whole)) = timeout(EXCHANGE, exchange).await
-                && whole.header.from == with
+            if let Ok(Ok(state)) = timeout(SYNC_TIMEOUT, exchange).await
+                && state.header.from == with
             {
-                handle.core().merge_full_state(clock::now(), whole);
-                handle.0.stir.notify_one();
+                handle.core().merge_full_state(clock::now(), state);
+                handle.0.wake.notify_one();
             }
         });
     }
 
-    fn exchange_asked(&self, mut stream: TcpStream, from: SocketAddr, room: &Arc<Semaphore>) {
-        let place = room.clone().try_acquire_owned();
-        let (true, Ok(place)) = (self.handle.known_host(from), place) else {
-            self.handle.0.strangers.fetch_add(1, Ordering::Relaxed);
+    /// Answers an exchange of full states that another member began, as a task of its own.
+    fn accept_sync(&self, mut stream: TcpStream, from: SocketAddr, permits: &Arc<Semaphore>) {
+        let permit = permits.clone().try_acquire_owned();
+        let (true, Ok(permit)) = (self.handle.is_member_host(from), permit) else {
+            self.handle.0.unknown_senders.fetch_add(1, Ordering::Relaxed);
             return;
         };
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let exchange = async {
-                let whole = read_whole(&mut stream).await?;
-                let own = {
+                let state = read_full_state(&mut stream).await?;
+                let local = {
                     let mut core = handle.core();
-                    if !core.merge_full_state(clock::now(), whole) {
+                    if !core.merge_full_state(clock::now(), state) {
                         return Err(io::ErrorKind::PermissionDenied.into());
                     }
                     core.full_state()
                 };
-                handle.0.stir.notify_one();
-                write_whole(&mut stream, &own).await
+                handle.0.wake.notify_one();
+                write_full_state(&mut stream, &local).await
             };
-            let _ = timeout(EXCHANGE, exchange).await;
+            let _ = timeout(SYNC_TIMEOUT, exchange).await;
         });
     }
 }
 
-async fn write_whole(stream: &mut TcpStream, whole: &FullState) -> io::Result<()> {
-    let bytes = encode(whole, MAX_FULL_STATE_BYTES).map_err(io::Error::other)?;
+async fn write_full_state(stream: &mut TcpStream, state: &FullState) -> io::Result<()> {
+    let bytes = encode(state, MAX_FULL_STATE_BYTES).map_err(io::Error::other)?;
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&[&length.to_be_bytes()[..], &bytes].concat()).await
 }
 
-async fn read_whole(stream: &mut TcpStream) -> io::Result<FullState> {
+async fn read_full_state(stream: &mut TcpStream) -> io::Result<FullState> {
     let length = stream.read_u32().await? as usize;
     if length > MAX_FULL_STATE_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = Vec::new();
-    // Grows as bytes come: a length alone takes no room.
+    // Grows as bytes arrive, so that a length alone does not allocate memory.
     stream.take(length as u64).read_to_end(&mut bytes).await?;
     decode(&bytes, MAX_FULL_STATE_BYTES).map_err(io::Error::other)
 }
 
-/// Whose answers count of duties: the voters of the roster.
-fn electorate(roster: &Roster) -> VoterSet {
+/// Returns the voters for duties: those of the roster, and of the previous one where the roster is joint.
+fn voter_set(roster: &Roster) -> VoterSet {
     let ids = |ids: Vec<MemberId>| ids.into_iter().map(|id| id.0).collect();
-    let (now, before) = roster.electorate();
-    VoterSet { current: ids(now), previous: before.map(ids) }
+    let (current, previous) = roster.electorate();
+    VoterSet { current: ids(current), previous: previous.map(ids) }
 }
 
-/// One line for each stable change.
-fn tell(handle: &Handle, event: &Event) {
+/// Logs a membership event.
+fn log_event(handle: &Handle, event: &Event) {
     let roster = handle.roster();
     let name = |id: &MemberId| roster.name_of(*id).unwrap_or("?").to_owned();
     match event {
         Event::ViewChanged(view) => {
-            let there: Vec<String> = view.members.keys().map(name).collect();
+            let present: Vec<String> = view.members.keys().map(name).collect();
             let missing: Vec<String> = roster
                 .members()
                 .map(|(id, _)| id)
                 .filter(|id| !view.members.contains_key(id))
                 .map(|id| name(&id))
                 .collect();
-            tracing::info!(view = %view.id, there = there.len(), ?missing, "fleet: view");
+            tracing::info!(view = %view.id, there = present.len(), ?missing, "fleet: view changed");
         }
-        Event::StateChanged { from, to } => tracing::info!(%from, %to, "fleet: standing"),
-        Event::RosterMismatch { member: with, roster: theirs } => {
+        Event::StateChanged { from, to } => tracing::info!(%from, %to, "fleet: state changed"),
+        Event::RosterMismatch { member, roster: theirs } => {
             let mine = roster.reference();
             tracing::warn!(
-                with = name(with),
+                with = name(member),
                 theirs = format!("{}:{:016x}", theirs.version, theirs.hash),
                 mine = format!("{}:{:016x}", mine.version, mine.hash),
-                "fleet: another roster"
+                "fleet: a member uses another roster"
             );
         }
-        Event::Resumed(late) => tracing::warn!(ms = late / 1000, "fleet: was stopped"),
+        Event::Resumed(duration) => tracing::warn!(ms = duration / 1000, "fleet: this process was stopped"),
     }
 }
--- a/crates/fleet/src/registers.rs
+++ b/crates/fleet/src/registers.rs
@@ -26,7 +26,8 @@
             Err(reason) => {
                 let aside = file.0.with_extension("damaged");
                 tracing::error!(
-                    "duties: cannot use the stored registers: {reason}; file renamed to {}, recovering from other voters",
+                    "duties: cannot use the stored registers: {reason}; file renamed to {}, recovering \
+                     from other voters",
                     aside.display()
                 );
                 let _ = fs::rename(&file.0, &aside);
