--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -2,7 +2,7 @@
 //! endpoints, the endpoint list, and notices.
 //!
 //! - `intake`: reads client requests and submits them to the engine
-//! - `clients`: accepts client connections, evicts idle ones when descriptors run short, and closes each cleanly
+//! - `clients`: accepts client connections, evicts idle ones when room runs short, and closes each
 //! - `head_scanner`: detects request heads with ambiguous body framing
 //! - `observed`: a TCP stream whose bytes an observer sees before the HTTP parser does
 //! - `connection`: one outgoing connection that never resends a request
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/closing.rs
@@ -1,6 +1,6 @@
-//! How connections of clients end, over loopback sockets, with the test in the engine's place. What has to
-//! meet is lined up in the kernel: the test and the server share one thread, and the server has no turn
-//! between the steps of a test that do not wait.
+//! How client connections are closed, over loopback sockets; the test takes the place of the engine. Races
+//! are made deterministic in the kernel: the test and the server share one thread, and the server cannot run
+//! between the steps of a test that do not await.
 
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
@@ -14,38 +14,39 @@
 use yarrowhill_engine::{Answer, Input, Phase};
 use yarrowhill_http::Intake;
 
-const SOON: Duration = Duration::from_secs(5);
+/// Time limit of every step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A server for a few clients, and an engine that takes on whatever comes.
-struct World {
+/// A server for a few clients, and an engine that accepts every message.
+struct TestServer {
     to: SocketAddr,
     phase: watch::Sender<Phase>,
-    served: JoinHandle<()>,
-    /// Ids in the order taken on.
-    taken: mpsc::UnboundedReceiver<String>,
-    /// While it is set the engine takes on and does not answer.
-    holds: watch::Sender<bool>,
+    task: JoinHandle<()>,
+    /// Ids of the accepted messages, in order.
+    accepted: mpsc::UnboundedReceiver<String>,
+    /// While set, the engine accepts messages and does not answer.
+    delays_answers: watch::Sender<bool>,
 }
 
-async fn world(most: usize) -> World {
+async fn start_server(max_connections: usize) -> TestServer {
     let settings = json!({"classes": [{"name": "order", "idempotency": "side_effect"}]});
-    let (settings, names) = yarrowhill_settings::from_json(&settings).expect("they are well formed");
+    let (settings, names) = yarrowhill_settings::from_json(&settings).expect("settings are valid");
     let (engine, mut inputs) = mpsc::channel(8);
-    let (phase, seen) = watch::channel(Phase::Serving);
-    let intake = Arc::new(Intake::new(names, settings, engine, seen, 1024));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let to = listener.local_addr().expect("an address");
-    let served = tokio::spawn(yarrowhill_http::serve(listener, most, intake));
-    let (took, taken) = mpsc::unbounded_channel();
-    let (holds, mut held) = watch::channel(false);
+    let (phase, phase_receiver) = watch::channel(Phase::Serving);
+    let intake = Arc::new(Intake::new(names, settings, engine, phase_receiver, 1024));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("port is free");
+    let to = listener.local_addr().expect("listener is bound");
+    let task = tokio::spawn(yarrowhill_http::serve(listener, max_connections, intake));
+    let (accepted_sender, accepted) = mpsc::unbounded_channel();
+    let (delays_answers, mut is_delayed) = watch::channel(false);
     tokio::spawn(async move {
         while let Some(Input::Submission(message)) = inputs.recv().await {
-            let _ = took.send(message.id.clone());
-            let _ = held.wait_for(|held| !held).await;
+            let _ = accepted_sender.send(message.id.clone());
+            let _ = is_delayed.wait_for(|is_delayed| !is_delayed).await;
             let _ = message.answer.send(Answer::Accepted);
         }
     });
-    World { to, phase, served, taken, holds }
+    TestServer { to, phase, task, accepted, delays_answers }
 }
 
 fn request(id: &str) -> String {
@@ -55,42 +56,42 @@
     )
 }
 
-/// A client whose steps block nobody: what is not there yet is waited for while the server has its turns.
+/// A client that does not block the thread: the server runs while the client waits for data.
 struct Client(TcpStream);
 
 impl Client {
     fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).expect("it listens");
-        stream.set_nonblocking(true).expect("a socket");
-        stream.set_nodelay(true).expect("a socket");
+        let stream = TcpStream::connect(to).expect("server listens");
+        stream.set_nonblocking(true).expect("socket is valid");
+        stream.set_nodelay(true).expect("socket is valid");
         Client(stream)
     }
 
     fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).expect("there is room");
+        self.0.write_all(text.as_bytes()).expect("send buffer has room");
     }
 
-    /// One answer, while the connection stays open.
-    async fn answer(&mut self) -> String {
+    /// Reads one response head and checks that the connection stays open.
+    async fn read_response(&mut self) -> String {
         let (text, end) = self.read(|text| text.ends_with("\r\n\r\n")).await;
         assert_eq!(end, None, "{text:?}");
         text
     }
 
-    /// All that comes up to the end of the connection, and the error that it ended with.
-    async fn rest(&mut self) -> (String, Option<ErrorKind>) {
+    /// Reads to the end of the connection. Returns the text, and the error that the connection ended with.
+    async fn read_to_end(&mut self) -> (String, Option<ErrorKind>) {
         let (text, end) = self.read(|_| false).await;
-        // Behind the end of sending a reset no longer shows in what is read, but a slower network may let it
-        // overtake.
-        let reset = self.0.take_error().expect("a socket").map(|e| e.kind());
-        (text, end.expect("it ends").or(reset))
+        // After the end of the stream a reset no longer shows in a read, but on a slower network it may
+        // overtake the data.
+        let reset = self.0.take_error().expect("socket is valid").map(|e| e.kind());
+        (text, end.expect("connection ends").or(reset))
     }
 
     async fn read(&mut self, done: impl Fn(&str) -> bool) -> (String, Option<Option<ErrorKind>>) {
         let (mut text, since) = (String::new(), Instant::now());
         let mut buffer = [0; 4096];
         while !done(&text) {
-            assert!(since.elapsed() < SOON, "only {text:?} came");
+            assert!(since.elapsed() < STEP_TIMEOUT, "received only {text:?}");
             match self.0.read(&mut buffer) {
                 Ok(0) => return (text, Some(None)),
                 Ok(n) => text.push_str(&String::from_utf8_lossy(&buffer[..n])),
@@ -102,198 +103,199 @@
     }
 }
 
-/// A client that has had one answer and rests.
-async fn resting(world: &mut World, id: &str) -> Client {
-    let mut client = Client::connect(world.to);
+/// Returns an idle client that has received one response.
+async fn idle_client(server: &mut TestServer, id: &str) -> Client {
+    let mut client = Client::connect(server.to);
     client.write(&request(id));
-    assert!(client.answer().await.starts_with("HTTP/1.1 202 "));
-    assert_eq!(world.taken.recv().await.as_deref(), Some(id));
+    assert!(client.read_response().await.starts_with("HTTP/1.1 202 "));
+    assert_eq!(server.accepted.recv().await.as_deref(), Some(id));
     client
 }
 
-async fn ended(world: World) {
-    timeout(SOON, world.served).await.expect("it ends").expect("it does not panic");
+async fn wait_for_end(server: TestServer) {
+    timeout(STEP_TIMEOUT, server.task).await.expect("server ends").expect("server does not panic");
 }
 
 #[tokio::test]
-async fn a_refusal_is_read_though_the_body_behind_it_is_not() {
-    let world = world(8).await;
-    let mut client = Client::connect(world.to);
-    // More than is ever taken, and more than the server's buffer: what is left of it stands in the socket.
+async fn a_refusal_is_not_lost_to_a_reset_when_the_body_is_unread() {
+    let server = start_server(8).await;
+    let mut client = Client::connect(server.to);
+    // The body is longer than the limit and than the server's buffer, so that the rest stays in the socket.
     let head =
         "POST /order HTTP/1.1\r\nHost: a\r\nReq-Id: m\r\nReq-Deadline-Ms: 9000\r\nEnvelope: dest=7\r\n";
     client.write(&format!("{head}Content-Length: 100000\r\n\r\n{}", "x".repeat(100_000)));
-    let (text, error) = client.rest().await;
+    let (text, error) = client.read_to_end().await;
     assert!(text.starts_with("HTTP/1.1 413 "), "{text:?}");
-    assert_eq!(error, None, "the connection was reset behind {text:?}");
+    assert_eq!(error, None, "connection was reset after {text:?}");
 }
 
 #[tokio::test]
-async fn bytes_behind_the_last_answer_do_not_reset_it() {
-    let mut world = world(8).await;
-    world.phase.send_replace(Phase::Closing);
-    let mut client = Client::connect(world.to);
-    // A second request crosses the end of the connection: it is not taken on.
+async fn bytes_after_the_last_request_do_not_reset_its_response() {
+    let mut server = start_server(8).await;
+    server.phase.send_replace(Phase::Closing);
+    let mut client = Client::connect(server.to);
+    // The second request crosses the end of the connection and must not be accepted.
     client.write(&(request("first") + &request("second") + &"x".repeat(40_000)));
-    let (text, error) = client.rest().await;
+    let (text, error) = client.read_to_end().await;
     assert!(text.starts_with("HTTP/1.1 202 ") && text.contains("connection: close"), "{text:?}");
     assert_eq!((error, text.matches("HTTP/1.1").count()), (None, 1), "{text:?}");
-    assert_eq!(world.taken.recv().await.as_deref(), Some("first"));
-    assert!(world.taken.try_recv().is_err());
+    assert_eq!(server.accepted.recv().await.as_deref(), Some("first"));
+    assert!(server.accepted.try_recv().is_err());
 }
 
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_gives_way_is_answered() {
-    let mut world = world(2).await;
-    let mut client = resting(&mut world, "first").await;
+async fn a_request_that_arrives_as_its_connection_is_evicted_is_answered() {
+    let mut server = start_server(2).await;
+    let mut client = idle_client(&mut server, "first").await;
     sleep(Duration::from_millis(400)).await;
-    // In one go: a new connection for which there is no room but that one's, and the request.
-    let mut other = Client::connect(world.to);
+    // At the same time: a new connection that needs the room of the first, and a request on the first.
+    let mut other = Client::connect(server.to);
     client.write(&request("second"));
     other.write(&request("third"));
-    let (text, error) = client.rest().await;
+    let (text, error) = client.read_to_end().await;
     assert!(text.starts_with("HTTP/1.1 202 "), "{text:?}");
     assert_eq!(error, None);
-    // The other is served, or refused if the first was faster.
-    let answer = other.answer().await;
+    // The other client is served, or refused if the request came first.
+    let answer = other.read_response().await;
     assert!(answer.starts_with("HTTP/1.1 202 ") || answer.starts_with("HTTP/1.1 503 "), "{answer:?}");
 }
 
 #[tokio::test]
-async fn a_request_on_a_resting_connection_at_the_shutdown_is_answered_or_untouched() {
-    let mut world = world(8).await;
-    let mut client = resting(&mut world, "first").await;
+async fn a_request_on_an_idle_connection_at_shutdown_is_answered() {
+    let mut server = start_server(8).await;
+    let mut client = idle_client(&mut server, "first").await;
     client.write(&request("second"));
-    world.phase.send_replace(Phase::Closed);
-    let (text, error) = client.rest().await;
-    assert_eq!(error, None, "the connection was reset behind {text:?}");
-    // What was there before the shutdown was read is served as the last one.
+    server.phase.send_replace(Phase::Closed);
+    let (text, error) = client.read_to_end().await;
+    assert_eq!(error, None, "connection was reset after {text:?}");
+    // A request that arrived before the server noticed the shutdown is served as the last one.
     assert!(text.starts_with("HTTP/1.1 202 ") && text.contains("connection: close"), "{text:?}");
-    assert_eq!(world.taken.recv().await.as_deref(), Some("second"));
-    ended(world).await;
+    assert_eq!(server.accepted.recv().await.as_deref(), Some("second"));
+    wait_for_end(server).await;
 }
 
-/// What is read after the end of sending is never sent on: the client hands it in once more.
+/// A request that is read after the server's half-close is discarded: the client submits it once more.
 #[tokio::test]
-async fn a_request_that_comes_after_the_end_of_sending_is_not_taken_on() {
-    let mut world = world(8).await;
-    let mut client = resting(&mut world, "first").await;
-    world.phase.send_replace(Phase::Closed);
-    // The end is seen before the request is written.
-    let (text, error) = client.rest().await;
+async fn a_request_after_the_half_close_is_not_accepted() {
+    let mut server = start_server(8).await;
+    let mut client = idle_client(&mut server, "first").await;
+    server.phase.send_replace(Phase::Closed);
+    // The client sees the end of the stream before it writes the request.
+    let (text, error) = client.read_to_end().await;
     assert_eq!((text.as_str(), error), ("", None));
     client.write(&request("second"));
     let _ = client.0.shutdown(Shutdown::Write);
-    timeout(SOON, world.served).await.expect("it ends").expect("it does not panic");
-    assert!(world.taken.try_recv().is_err(), "it was taken on");
+    timeout(STEP_TIMEOUT, server.task).await.expect("server ends").expect("server does not panic");
+    assert!(server.accepted.try_recv().is_err(), "message was accepted");
 }
 
 #[tokio::test]
-async fn a_connection_in_the_queue_at_the_shutdown_hears_that_it_is_refused() {
-    let world = world(8).await;
-    // The server has no turn: all of them stand in the listener's queue, with their requests.
-    let mut late: Vec<Client> = (0..5).map(|_| Client::connect(world.to)).collect();
+async fn a_connection_in_the_listen_queue_at_shutdown_gets_a_response() {
+    let server = start_server(8).await;
+    // The server does not run: all connections wait in the listener's queue, with their requests.
+    let mut late: Vec<Client> = (0..5).map(|_| Client::connect(server.to)).collect();
     late.iter_mut().for_each(|client| client.write(&request("late")));
-    world.phase.send_replace(Phase::Closed);
+    server.phase.send_replace(Phase::Closed);
     for client in &mut late {
-        let (text, error) = client.rest().await;
+        let (text, error) = client.read_to_end().await;
         assert!(text.starts_with("HTTP/1.1 503 ") || text.starts_with("HTTP/1.1 202 "), "{text:?} {error:?}");
         assert_eq!(error, None);
     }
-    ended(world).await;
+    wait_for_end(server).await;
 }
 
 #[tokio::test]
-async fn a_head_that_is_half_read_at_the_shutdown_may_come_whole() {
-    let mut world = world(8).await;
-    let mut client = resting(&mut world, "first").await;
+async fn a_partial_head_at_shutdown_may_be_completed() {
+    let mut server = start_server(8).await;
+    let mut client = idle_client(&mut server, "first").await;
     let (head, rest) = ("POST /order HTTP/1.1\r\nReq-Id: sec", request("second"));
     client.write(head);
-    // The half is read when another client's whole request is, which comes later.
-    drop(resting(&mut world, "other").await);
-    world.phase.send_replace(Phase::Closed);
+    // The server has read the partial head once it has read another client's later request.
+    drop(idle_client(&mut server, "other").await);
+    server.phase.send_replace(Phase::Closed);
     sleep(Duration::from_millis(50)).await;
     client.write("ond\r\n");
     client.write(&rest.replace("POST /order HTTP/1.1\r\n", "").replace("Req-Id: second\r\n", ""));
-    let (text, error) = client.rest().await;
+    let (text, error) = client.read_to_end().await;
     assert!(text.starts_with("HTTP/1.1 202 "), "{text:?}");
     assert_eq!(error, None);
-    assert_eq!(world.taken.recv().await.as_deref(), Some("second"));
-    ended(world).await;
+    assert_eq!(server.accepted.recv().await.as_deref(), Some("second"));
+    wait_for_end(server).await;
 }
 
-/// Half a head is no reason to stay for ever.
+/// A head that is never completed delays the shutdown only briefly.
 #[tokio::test]
-async fn half_a_head_holds_the_shutdown_up_for_a_moment_only() {
-    let mut world = world(8).await;
-    let mut client = Client::connect(world.to);
+async fn a_partial_head_delays_the_shutdown_only_briefly() {
+    let mut server = start_server(8).await;
+    let mut client = Client::connect(server.to);
     client.write("POST /order HTTP/1.1\r\nReq-Id: sec");
-    drop(resting(&mut world, "other").await);
+    drop(idle_client(&mut server, "other").await);
     let since = Instant::now();
-    world.phase.send_replace(Phase::Closed);
-    let (text, error) = client.rest().await;
+    server.phase.send_replace(Phase::Closed);
+    let (text, error) = client.read_to_end().await;
     assert_eq!((text.as_str(), error), ("", None));
-    ended(world).await;
+    wait_for_end(server).await;
     assert!(since.elapsed() < Duration::from_millis(1500), "{:?}", since.elapsed());
 }
 
-/// Clients that rest until they are ended are ended, and one that never closes its side holds nothing up.
+/// Idle connections are closed after the idle time-out and at shutdown, and a client that never closes its
+/// side delays nothing.
 #[tokio::test]
-async fn resting_connections_end_by_themselves_and_at_the_shutdown() {
-    let mut world = world(40).await;
+async fn idle_connections_are_closed_after_the_time_out_and_at_shutdown() {
+    let mut server = start_server(40).await;
     let mut clients = Vec::new();
     for n in 0..10 {
-        clients.push(resting(&mut world, &format!("m{n}")).await);
+        clients.push(idle_client(&mut server, &format!("m{n}")).await);
     }
-    let (text, error) = clients[0].rest().await;
+    let (text, error) = clients[0].read_to_end().await;
     assert_eq!((text.as_str(), error), ("", None));
-    let mut late = resting(&mut world, "late").await;
+    let mut late = idle_client(&mut server, "late").await;
     let since = Instant::now();
-    world.phase.send_replace(Phase::Closed);
-    assert_eq!(late.rest().await, (String::new(), None));
-    ended(world).await;
+    server.phase.send_replace(Phase::Closed);
+    assert_eq!(late.read_to_end().await, (String::new(), None));
+    wait_for_end(server).await;
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
 }
 
-/// However many come: those who have given way hold no more than their part of the descriptors.
+/// However many clients connect, evicted connections hold no more than their share of the descriptors.
 #[tokio::test]
-async fn a_flood_of_silent_clients_shuts_nobody_out() {
-    let mut world = world(16).await;
-    let silent: Vec<Client> = (0..100).map(|_| Client::connect(world.to)).collect();
+async fn a_flood_of_silent_clients_does_not_lock_out_others() {
+    let mut server = start_server(16).await;
+    let silent: Vec<Client> = (0..100).map(|_| Client::connect(server.to)).collect();
     sleep(Duration::from_millis(400)).await;
     for n in 0..20 {
-        drop(resting(&mut world, &format!("m{n}")).await);
+        drop(idle_client(&mut server, &format!("m{n}")).await);
     }
     drop(silent);
 }
 
-/// What the engine has when the end comes has its answer before that.
+/// A message that the engine has at shutdown is answered before the server ends.
 #[tokio::test]
-async fn a_request_that_waits_for_the_engine_at_the_shutdown_is_answered() {
-    let mut world = world(8).await;
-    world.holds.send_replace(true);
-    let mut client = Client::connect(world.to);
+async fn a_request_that_waits_for_the_engine_at_shutdown_is_answered() {
+    let mut server = start_server(8).await;
+    server.delays_answers.send_replace(true);
+    let mut client = Client::connect(server.to);
     client.write(&request("m"));
-    assert_eq!(world.taken.recv().await.as_deref(), Some("m"));
-    world.phase.send_replace(Phase::Closed);
-    // Another's end shows that the shutdown has been seen.
-    assert!(Client::connect(world.to).rest().await.0.starts_with("HTTP/1.1 503 "));
-    assert!(!world.served.is_finished());
-    world.holds.send_replace(false);
-    let (text, error) = client.rest().await;
+    assert_eq!(server.accepted.recv().await.as_deref(), Some("m"));
+    server.phase.send_replace(Phase::Closed);
+    // The refusal of another client shows that the server has noticed the shutdown.
+    assert!(Client::connect(server.to).read_to_end().await.0.starts_with("HTTP/1.1 503 "));
+    assert!(!server.task.is_finished());
+    server.delays_answers.send_replace(false);
+    let (text, error) = client.read_to_end().await;
     assert!(text.starts_with("HTTP/1.1 202 "), "{text:?}");
     assert_eq!(error, None);
-    ended(world).await;
+    wait_for_end(server).await;
 }
 
-/// Heads that begin about when their connection has rested for too long: each is served whole, or untouched,
-/// and none of the connections is reset.
+/// Heads that begin at about the idle time-out of their connections are either served completely or
+/// discarded, and no connection is reset.
 #[tokio::test]
-async fn a_head_that_begins_as_a_rest_ends_is_served_or_untouched() {
-    let mut world = world(40).await;
+async fn a_head_that_begins_at_the_idle_time_out_is_served_or_discarded() {
+    let mut server = start_server(40).await;
     let mut clients = Vec::new();
     for n in 0..12 {
-        clients.push(resting(&mut world, &format!("m{n}")).await);
+        clients.push(idle_client(&mut server, &format!("m{n}")).await);
     }
     sleep(Duration::from_millis(1700)).await;
     for (n, client) in clients.iter_mut().enumerate() {
@@ -303,14 +305,14 @@
     }
     let mut served = 0;
     for client in &mut clients {
-        let (text, error) = client.rest().await;
+        let (text, error) = client.read_to_end().await;
         assert!(text.is_empty() || text.starts_with("HTTP/1.1 202 "), "{text:?}");
-        assert_eq!(error, None, "the connection was reset behind {text:?}");
+        assert_eq!(error, None, "connection was reset after {text:?}");
         served += usize::from(!text.is_empty());
     }
-    let mut taken = 0;
-    while world.taken.try_recv().is_ok() {
-        taken += 1;
+    let mut accepted = 0;
+    while server.accepted.try_recv().is_ok() {
+        accepted += 1;
     }
-    assert_eq!(taken, served, "taken on, and answered");
+    assert_eq!(accepted, served, "accepted and answered messages differ in number");
 }
