--- a/crates/http/src/calls.rs
+++ b/crates/http/src/calls.rs
@@ -1,5 +1,4 @@
-//! Calls to endpoints. A connection carries one call at a time, and each message in the call gets its own
-//! outcome.
+//! Calls to endpoints. A connection carries one call at a time; each message in a call gets its own outcome.
 
 use crate::connection::{self, CancelHandle, Connection, SendError};
 use crate::pool::{CheckIn, GateHandle};
@@ -108,8 +107,7 @@
         // The steps before may have taken any time, and commands may have come just as the connection opened.
         pending.expire(Stage::Connecting, Instant::now());
         pending.apply_queued_commands();
-        // Last check before a byte is written: the process may have been suspended since the call was decided
-        // on.
+        // Last check before a byte is written: the process may have been suspended since the decision.
         let request = request(&pending.waiting, pending.call.address).filter(|_| gate.may_send());
         let (Some(request), Some(open)) = (request, &mut connection) else {
             // Every attempt must be reported to the policy: one that never ends occupies its slot for ever.
