--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon: an engine with HTTP round it, one process under the platform's limits.
 
 use crate::config::Config;
-use crate::joined::Joined;
+use crate::fleet::Joined;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/yarrowhill/src/joined.rs
+++ b/crates/yarrowhill/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::daemon::RunError;
 #[cfg(feature = "members")]
-use crate::members::Member;
+use crate::member::Member;
 use tokio::sync::mpsc::Sender;
 use yarrowhill_engine::Input;
 use yarrowhill_http::{Intake, Pool};
--- a/crates/yarrowhill/src/lib.rs
+++ b/crates/yarrowhill/src/lib.rs
@@ -2,16 +2,16 @@
 
 mod config;
 mod daemon;
-mod joined;
+mod fleet;
 #[cfg(feature = "members")]
-mod members;
+mod member;
 #[cfg(feature = "shards")]
 mod sharded;
 
 pub use config::{Config, ConfigError};
 pub use daemon::{RunError, run};
 #[cfg(feature = "members")]
-pub use members::CONTROL;
+pub use member::CONTROL;
 
 use std::error::Error;
 
--- a/crates/yarrowhill/src/main.rs
+++ b/crates/yarrowhill/src/main.rs
@@ -1,9 +1,9 @@
 //! The command line. Without a subcommand it runs the forwarder, as the platform starts it.
 
+#[cfg(feature = "members")]
+mod control;
 #[cfg(feature = "demo")]
 mod demo;
-#[cfg(feature = "members")]
-mod operate;
 #[cfg(feature = "routes")]
 mod routes;
 
@@ -141,7 +141,7 @@
 #[cfg(feature = "members")]
 fn ask(look: Look, show: impl Fn(&std::path::Path, bool, bool) -> Told) -> Told {
     let Look { state, socket, watch, json } = look;
-    operate::socket(socket, state).and_then(|socket| show(&socket, watch, json))
+    control::socket(socket, state).and_then(|socket| show(&socket, watch, json))
 }
 
 #[cfg(feature = "members")]
@@ -161,21 +161,21 @@
         Command::Run => start(),
         Command::CheckConfig { file } => check(&file),
         #[cfg(feature = "members")]
-        Command::Members(look) => ask(look, operate::members),
+        Command::Members(look) => ask(look, control::members),
         #[cfg(feature = "members")]
-        Command::Duties { wish: None, look } => ask(look, operate::duties),
+        Command::Duties { wish: None, look } => ask(look, control::duties),
         #[cfg(feature = "members")]
         Command::Duties { wish: Some(wish), look } => ask(look, |socket, _, _| match &wish {
-            DutyWish::Yield { duty } => operate::wish(socket, "duty-yield", duty, None),
-            DutyWish::Pin { duty, member } => operate::wish(socket, "duty-pin", duty, member.as_deref()),
+            DutyWish::Yield { duty } => control::wish(socket, "duty-yield", duty, None),
+            DutyWish::Pin { duty, member } => control::wish(socket, "duty-pin", duty, member.as_deref()),
         }),
         #[cfg(feature = "members")]
-        Command::Fleet { what: Shared::Limits(look) } => ask(look, operate::limits),
+        Command::Fleet { what: Shared::Limits(look) } => ask(look, control::limits),
         #[cfg(feature = "members")]
-        Command::Fleet { what: Shared::Knowledge(look) } => ask(look, operate::knowledge),
+        Command::Fleet { what: Shared::Knowledge(look) } => ask(look, control::knowledge),
         #[cfg(feature = "members")]
         Command::Fleet { what: Shared::Explain { dest, look } } => {
-            ask(look, |socket, watch, json| operate::explain(socket, dest, watch, json))
+            ask(look, |socket, watch, json| control::explain(socket, dest, watch, json))
         }
         #[cfg(feature = "routes")]
         Command::Config { what: Documents::Check { path, json } } => return routes::check(&path, json),
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::daemon::{BODIES, INPUTS, JOURNAL_PART, RunError, Sockets, reload, watcher};
-use crate::joined::Joined;
+use crate::fleet::Joined;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::thread;
