--- a/crates/yarrowhill/src/config.rs
+++ b/crates/yarrowhill/src/config.rs
@@ -3,6 +3,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 use std::path::{Path, PathBuf};
 use std::{env, fs, io};
 use yarrowhill_engine::{Durability, EndpointList};
@@ -14,27 +15,27 @@
 pub enum ConfigError {
     /// A variable of the environment is missing.
     #[error("the environment lacks {0}")]
-    Missing(&'static str),
+    MissingVariable(&'static str),
     /// The file cannot be read.
     #[error("cannot read {0}: {1}")]
     Read(PathBuf, #[source] io::Error),
     /// The file is not of the agreed form.
     #[error("cannot make out {0}: {1}")]
-    Form(PathBuf, #[source] serde_json::Error),
+    Json(PathBuf, #[source] serde_json::Error),
     /// The seed is no hexadecimal number.
-    #[error("the seed is no hexadecimal number")]
-    Seed(#[from] std::num::ParseIntError),
+    #[error("seed {0:?} is not a hexadecimal number: {1}")]
+    InvalidSeed(String, #[source] ParseIntError),
     /// Too many shards, or none, or this build has one alone.
     #[error("{0} shards: this build can have 1 to {1}")]
-    Shards(usize, usize),
+    ShardsOutOfRange(usize, usize),
     /// A fleet's document is named, and this build knows no fleets.
     #[cfg(not(feature = "members"))]
     #[error("a fleet is named, and this build knows none")]
-    Members,
+    FleetUnsupported,
     /// A fleet's document is named, and the forwarder has no name.
     #[cfg(feature = "members")]
     #[error("a fleet is named, and no name of this forwarder")]
-    Nameless,
+    MissingName,
     /// A setting cannot be read.
     #[error("settings: {0}")]
     Settings(FieldError),
@@ -114,7 +115,7 @@
     ///
     /// A variable is missing, or the file can't be read or made out.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let var = |name| env::var_os(name).map(PathBuf::from).ok_or(ConfigError::Missing(name));
+        let var = |name| env::var_os(name).map(PathBuf::from).ok_or(ConfigError::MissingVariable(name));
         Config::read(&var("BALANCER_CONFIG")?, var("BALANCER_STATE")?)
     }
 
@@ -143,18 +144,18 @@
     ///
     /// The text can't be made out.
     pub fn parse(text: &[u8], state: PathBuf, path: &Path) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_slice(text).map_err(|e| ConfigError::Form(path.into(), e))?;
+        let file: File = serde_json::from_slice(text).map_err(|e| ConfigError::Json(path.into(), e))?;
         if !(1..=SHARDS_MOST).contains(&file.shards) {
-            return Err(ConfigError::Shards(file.shards, SHARDS_MOST));
+            return Err(ConfigError::ShardsOutOfRange(file.shards, SHARDS_MOST));
         }
         #[cfg(not(feature = "members"))]
         if file.fleet.is_some() {
-            return Err(ConfigError::Members);
+            return Err(ConfigError::FleetUnsupported);
         }
         #[cfg(feature = "members")]
         let member = match (file.name, file.fleet) {
             (_, None) => None,
-            (None, Some(_)) => return Err(ConfigError::Nameless),
+            (None, Some(_)) => return Err(ConfigError::MissingName),
             (Some(name), Some(fleet)) => Some((name, path.parent().unwrap_or(Path::new("")).join(fleet))),
         };
         let (settings, names) = from_json(&file.settings).map_err(ConfigError::Settings)?;
@@ -163,7 +164,7 @@
             listen: file.listen,
             discovery: file.discovery,
             state,
-            seed: u64::from_str_radix(&file.seed, 16)?,
+            seed: u64::from_str_radix(&file.seed, 16).map_err(|e| ConfigError::InvalidSeed(file.seed, e))?,
             limits: file.limits,
             known: file.known,
             shards: file.shards,
--- a/crates/yarrowhill/src/control.rs
+++ b/crates/yarrowhill/src/control.rs
@@ -20,7 +20,7 @@
     }
     let state = state.or_else(|| std::env::var_os("BALANCER_STATE").map(PathBuf::from));
     let state = state.ok_or("name the forwarder: --state FOLDER, --socket PATH or BALANCER_STATE")?;
-    Ok(state.join(yarrowhill::CONTROL))
+    Ok(state.join(yarrowhill::CONTROL_SOCKET))
 }
 
 /// Shows who is there, once or again and again.
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -47,10 +47,10 @@
     Journal(#[from] JournalError),
     /// Journals of several shards stand in the folder.
     #[error("{0} holds the journals of several shards, and this build has one alone")]
-    Layouts(std::path::PathBuf),
+    ShardedLayout(std::path::PathBuf),
     /// A shard has ended although nobody told it to.
     #[error("shard {0} has ended")]
-    Shard(usize),
+    ShardEnded(usize),
     /// It can't be a member of its fleet.
     #[cfg(feature = "members")]
     #[error("fleet: {0}")]
@@ -97,7 +97,7 @@
     }
     // Guards what stands there: it would be forgotten.
     if layouts {
-        return Err(RunError::Layouts(config.state));
+        return Err(RunError::ShardedLayout(config.state));
     }
     // Before anybody can see that it is ready: SIGHUP without a handler would end the process.
     let hangup = signal(SignalKind::hangup())?;
--- a/crates/yarrowhill/src/lib.rs
+++ b/crates/yarrowhill/src/lib.rs
@@ -11,7 +11,7 @@
 pub use config::{Config, ConfigError};
 pub use daemon::{RunError, run};
 #[cfg(feature = "members")]
-pub use member::CONTROL;
+pub use member::CONTROL_SOCKET;
 
 use std::error::Error;
 
--- a/crates/yarrowhill/src/member.rs
+++ b/crates/yarrowhill/src/member.rs
@@ -14,7 +14,7 @@
 use yarrowhill_policy::api::DestId;
 
 /// The control socket's name in the state folder.
-pub const CONTROL: &str = "control";
+pub const CONTROL_SOCKET: &str = "control";
 
 /// Its place in the fleet.
 #[derive(Clone)]
@@ -97,7 +97,7 @@
             }
         };
         // A forwarder that nobody can ask goes on serving.
-        match serve(&config.state.join(CONTROL), answer) {
+        match serve(&config.state.join(CONTROL_SOCKET), answer) {
             Ok(served) => drop(tokio::spawn(served)),
             Err(e) => tracing::error!("control: {e}"),
         }
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -69,7 +69,7 @@
         let name = format!("shard-{number}");
         let thread = thread::Builder::new().name(name).spawn(move || work(shard))?;
         threads.spawn_blocking(move || (number, thread.join().is_ok()));
-        start.await.map_err(|_| RunError::Shard(number))??;
+        start.await.map_err(|_| RunError::ShardEnded(number))??;
     }
     joined.tell_senders(&engines);
     let engines = EngineSenders::new(engines);
@@ -101,8 +101,8 @@
             ended = threads.join_next() => match ended {
                 None => break,
                 Some(Ok((_, true))) if ends => {}
-                Some(Ok((number, _))) => return Err(RunError::Shard(number)),
-                Some(Err(_)) => return Err(RunError::Shard(shards)),
+                Some(Ok((number, _))) => return Err(RunError::ShardEnded(number)),
+                Some(Err(_)) => return Err(RunError::ShardEnded(shards)),
             },
         }
     }
