--- a/crates/yarrowhill/src/config.rs
+++ b/crates/yarrowhill/src/config.rs
@@ -1,4 +1,4 @@
-//! What the forwarder is told: its environment and the configuration file (DEPLOY, "What a forwarder is told").
+//! Configuration of the forwarder: its environment variables and the configuration file.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -10,44 +10,44 @@
 use yarrowhill_policy::api::Settings;
 use yarrowhill_settings::{FieldError, Names, from_json};
 
-/// Why the forwarder cannot start.
+/// Error in the configuration, with which the forwarder cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable of the environment is missing.
-    #[error("the environment lacks {0}")]
+    /// An environment variable is not set.
+    #[error("environment variable {0} is not set")]
     MissingVariable(&'static str),
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("cannot read {0}: {1}")]
     Read(PathBuf, #[source] io::Error),
-    /// The file is not of the agreed form.
-    #[error("cannot make out {0}: {1}")]
+    /// The configuration file is not JSON, or a field has the wrong type or is missing.
+    #[error("cannot parse {0}: {1}")]
     Json(PathBuf, #[source] serde_json::Error),
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("seed {0:?} is not a hexadecimal number: {1}")]
     InvalidSeed(String, #[source] ParseIntError),
-    /// Too many shards, or none, or this build has one alone.
-    #[error("{0} shards: this build can have 1 to {1}")]
+    /// The number of shards (first value) is 0 or above the maximum of this build (second value).
+    #[error("shards = {0} is out of range: this build supports 1 to {1}")]
     ShardsOutOfRange(usize, usize),
-    /// A fleet's document is named, and this build knows no fleets.
+    /// A fleet document is configured, but this build has no membership.
     #[cfg(not(feature = "members"))]
-    #[error("a fleet is named, and this build knows none")]
+    #[error("fleet is set, but this build does not support fleets (feature \"members\")")]
     FleetUnsupported,
-    /// A fleet's document is named, and the forwarder has no name.
+    /// A fleet document is configured, but no name for this forwarder.
     #[cfg(feature = "members")]
-    #[error("a fleet is named, and no name of this forwarder")]
+    #[error("fleet is set, but name is missing: a member of a fleet needs a name")]
     MissingName,
-    /// A setting cannot be read.
+    /// A setting is missing or has an invalid value.
     #[error("settings: {0}")]
     Settings(FieldError),
 }
 
-/// Shards that a process may have.
-const SHARDS_MOST: usize = if cfg!(feature = "shards") { 64 } else { 1 };
+/// Maximum number of shards in a process.
+const MAX_SHARDS: usize = if cfg!(feature = "shards") { 64 } else { 1 };
 
-/// Calls out at a time: one for so many descriptors at most.
-const SLOTS_PART: usize = 3;
+/// Number of file descriptors for each call in flight: this bounds concurrent calls.
+const DESCRIPTORS_PER_CALL: usize = 3;
 
-/// Bounds on what the process may hold.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct Limits {
     pub(crate) memory_mb: usize,
@@ -55,7 +55,7 @@
     pub(crate) disk_mb: f64,
 }
 
-/// What a turn of the journal outlasts, by its name in the file.
+/// Durability of a journal commit, by its name in the file.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum DurabilityName {
@@ -74,22 +74,22 @@
     settings: Value,
     #[serde(default)]
     durability: DurabilityName,
-    /// Engines side by side, each on a thread of its own.
-    #[serde(default = "one")]
+    /// Number of engines, each on a thread of its own.
+    #[serde(default = "default_shards")]
     shards: usize,
     #[cfg(feature = "members")]
     #[serde(default)]
     name: Option<String>,
-    /// The fleet's document, by its path from this file's folder.
+    /// Path of the fleet document, relative to the folder of this file.
     #[serde(default)]
     fleet: Option<PathBuf>,
 }
 
-fn one() -> usize {
+fn default_shards() -> usize {
     1
 }
 
-/// All that the forwarder is told.
+/// Configuration of a forwarder.
 #[derive(Debug)]
 pub struct Config {
     pub(crate) listen: SocketAddr,
@@ -101,52 +101,56 @@
     pub(crate) settings: Settings,
     pub(crate) names: Names,
     pub(crate) durability: Durability,
-    #[cfg_attr(not(feature = "shards"), expect(dead_code, reason = "there is one"))]
+    #[cfg_attr(
+        not(feature = "shards"),
+        expect(dead_code, reason = "without the feature there is only one shard")
+    )]
     pub(crate) shards: usize,
-    /// Its name, and the fleet's document, where it is to be a member.
+    /// Name of the forwarder and path of the fleet document, if it is a member of a fleet.
     #[cfg(feature = "members")]
     pub(crate) member: Option<(String, PathBuf)>,
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the file that the environment variables name.
     ///
     /// # Errors
     ///
-    /// A variable is missing, or the file can't be read or made out.
+    /// Returns an error if a variable is not set, or the file cannot be read or parsed.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let var = |name| env::var_os(name).map(PathBuf::from).ok_or(ConfigError::MissingVariable(name));
-        Config::read(&var("BALANCER_CONFIG")?, var("BALANCER_STATE")?)
+        let variable = |name| env::var_os(name).map(PathBuf::from).ok_or(ConfigError::MissingVariable(name));
+        Config::read(&variable("BALANCER_CONFIG")?, variable("BALANCER_STATE")?)
     }
 
-    /// Reads a file, for a forwarder that keeps its journal in `state`.
+    /// Reads a file, for a forwarder whose state folder is `state`.
     ///
     /// # Errors
     ///
-    /// The file can't be read or made out.
+    /// Returns an error if the file cannot be read or parsed.
     pub fn read(path: &Path, state: PathBuf) -> Result<Self, ConfigError> {
         let text = fs::read(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let mut config = Config::parse(&text, state, path)?;
-        config.bound_descriptors(descriptors().unwrap_or(usize::MAX));
+        config.limit_descriptors(descriptor_limit().unwrap_or(usize::MAX));
         Ok(config)
     }
 
-    /// It has no more descriptors than these. Where the settings name no bound on calls, the descriptors are one: a call
-    /// that can't have a connection for want of them would look like an outage of its destination.
-    fn bound_descriptors(&mut self, most: usize) {
-        self.limits.sockets = self.limits.sockets.min(most);
-        self.settings.slots = self.settings.slots.min((self.limits.sockets / SLOTS_PART).max(1));
+    /// Limits the process to `max` descriptors, and concurrent calls with them. The settings may leave calls
+    /// unbounded, and a call that gets no connection for lack of descriptors would look like an outage of its
+    /// destination.
+    fn limit_descriptors(&mut self, max: usize) {
+        self.limits.sockets = self.limits.sockets.min(max);
+        self.settings.slots = self.settings.slots.min((self.limits.sockets / DESCRIPTORS_PER_CALL).max(1));
     }
 
-    /// Reads the text of a file; `path` names it in errors.
+    /// Parses the text of a file. `path` is used in errors, and to resolve the path of the fleet document.
     ///
     /// # Errors
     ///
-    /// The text can't be made out.
+    /// Returns an error if the text cannot be parsed or a value is invalid.
     pub fn parse(text: &[u8], state: PathBuf, path: &Path) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_slice(text).map_err(|e| ConfigError::Json(path.into(), e))?;
-        if !(1..=SHARDS_MOST).contains(&file.shards) {
-            return Err(ConfigError::ShardsOutOfRange(file.shards, SHARDS_MOST));
+        if !(1..=MAX_SHARDS).contains(&file.shards) {
+            return Err(ConfigError::ShardsOutOfRange(file.shards, MAX_SHARDS));
         }
         #[cfg(not(feature = "members"))]
         if file.fleet.is_some() {
@@ -177,15 +181,15 @@
                 DurabilityName::Disk => Durability::Disk,
             },
         };
-        config.bound_descriptors(sockets);
+        config.limit_descriptors(sockets);
         Ok(config)
     }
 }
 
-/// Descriptors that the system gives this process, where it says so.
-fn descriptors() -> Option<usize> {
+/// Returns the soft limit of the system on open files of this process, if there is one.
+fn descriptor_limit() -> Option<usize> {
     let limits = fs::read_to_string("/proc/self/limits").ok()?;
     let soft = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
-    // None where there is no limit.
+    // "unlimited" does not parse and gives None.
     soft.split_whitespace().next()?.parse().ok()
 }
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -1,7 +1,8 @@
-//! The daemon: an engine with HTTP round it, one process under the platform's limits.
+//! The daemon with one engine: HTTP server, engine, calls, discovery and notices in one process, within the
+//! platform's limits.
 
 use crate::config::Config;
-use crate::fleet::Joined;
+use crate::fleet::FleetMembership;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,73 +14,82 @@
 use yarrowhill_http::discovery::{self, WatchConfig};
 use yarrowhill_http::{Intake, Pool, notices};
 
-/// What may wait for the engine at a time.
-pub(crate) const INPUTS: usize = 1024;
+/// Capacity of the channel of inputs to an engine.
+pub(crate) const INPUT_CHANNEL_CAPACITY: usize = 1024;
 
-/// The part of the memory that bodies may take before the engine has them; the journal's bounds hold from then.
-pub(crate) const BODIES: usize = 8;
+/// Divisor of the memory limit for message bodies that the engine has not accepted yet. From then on the
+/// limits of the journal apply.
+pub(crate) const BODY_MEMORY_DIVISOR: usize = 8;
 
-/// Descriptors for all but clients and endpoints: standard streams, runtime, listener, journal, discovery.
-const OWN: usize = 20;
+/// Descriptors reserved for everything but clients and endpoints: standard streams, runtime, listener,
+/// journal, discovery.
+const RESERVED_DESCRIPTORS: usize = 20;
 
-/// The part of the disk that the journal may take: a little is left for the rounding of file sizes.
-pub(crate) const JOURNAL_PART: f64 = 0.95e6;
+/// Bytes that the journal may take for each megabyte of the disk limit. The remaining 5 % allow for the
+/// rounding of file sizes.
+pub(crate) const JOURNAL_BYTES_PER_DISK_MB: f64 = 0.95e6;
 
-/// How the descriptors are shared out, so that neither many clients nor many endpoints use up all of them.
-pub(crate) struct Sockets {
+/// Split of the descriptors, so that neither many clients nor many endpoints use up all of them.
+pub(crate) struct DescriptorBudget {
+    /// Maximum number of client connections.
     pub(crate) clients: usize,
-    /// Connections to endpoints without a call.
+    /// Maximum number of idle connections to endpoints.
     pub(crate) idle: usize,
 }
 
-impl Sockets {
-    pub(crate) fn share(config: &Config) -> Self {
-        let free = config.limits.sockets.saturating_sub(OWN.saturating_add(config.settings.slots));
-        Sockets { clients: (free * 2 / 3).max(1), idle: (free / 3).max(1) }
+impl DescriptorBudget {
+    pub(crate) fn new(config: &Config) -> Self {
+        let reserved = RESERVED_DESCRIPTORS.saturating_add(config.settings.slots);
+        let free = config.limits.sockets.saturating_sub(reserved);
+        DescriptorBudget { clients: (free * 2 / 3).max(1), idle: (free / 3).max(1) }
     }
 }
 
-/// Why the forwarder ended before it was told to.
+/// Error with which the forwarder ends before SIGTERM.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The journal cannot be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// Journals of several shards stand in the folder.
-    #[error("{0} holds the journals of several shards, and this build has one alone")]
+    /// The state folder has the journals of several shards, but this build supports only one.
+    #[error(
+        "{0} has the journals of several shards: this build supports one shard (feature \"shards\" is off)"
+    )]
     ShardedLayout(std::path::PathBuf),
-    /// A shard has ended although nobody told it to.
-    #[error("shard {0} has ended")]
+    /// The thread of a shard ended without a request to shut down.
+    #[error("shard {0} ended unexpectedly")]
     ShardEnded(usize),
-    /// It can't be a member of its fleet.
+    /// The fleet document cannot be read, or the forwarder cannot join its fleet.
     #[cfg(feature = "members")]
     #[error("fleet: {0}")]
     Fleet(String),
-    /// A socket or a signal cannot be had.
+    /// A socket, a thread or a signal handler cannot be set up, or the state folder cannot be read.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Who keeps the list, and how many others do. What is pushed is had from an agent of the forwarder's own machine, at
-/// no cost to anybody; only what has to be asked for is shared with the others.
-pub(crate) fn watcher(config: &Config) -> WatchConfig {
+/// Returns the initial state of the list watch. A list that is pushed comes from an agent on the forwarder's
+/// own machine, at no cost to others; only a discovery that has to be polled is shared with the other
+/// forwarders.
+pub(crate) fn watch_config(config: &Config) -> WatchConfig {
     let forwarders = config.settings.must_subscribe.then_some(config.settings.senders);
     WatchConfig { version: config.known.version, forwarders, seed: config.seed }
 }
 
-/// Reads the file again at each SIGHUP and passes on discovery's address; all else that the file tells holds
-/// for the whole life of the process. A file that can't be read changes nothing.
-pub(crate) async fn reload(mut hangup: Signal, discovery: watch::Sender<SocketAddr>, joined: Joined) {
+/// Reloads the configuration at each SIGHUP. The address of discovery and the fleet document take effect; all
+/// other values of the file are fixed for the life of the process. A file that cannot be read or parsed
+/// changes nothing.
+pub(crate) async fn reload(mut hangup: Signal, discovery: watch::Sender<SocketAddr>, fleet: FleetMembership) {
     while hangup.recv().await.is_some() {
-        joined.reload();
+        fleet.reload();
         match Config::from_env() {
             Ok(config) => {
-                discovery.send_if_modified(|at| {
-                    let old = std::mem::replace(at, config.discovery);
+                discovery.send_if_modified(|addr| {
+                    let old = std::mem::replace(addr, config.discovery);
                     old != config.discovery
                 });
             }
-            Err(e) => tracing::error!("configuration: not read again: {e}"),
+            Err(e) => tracing::error!("configuration: reload failed, the old one stays in force: {e}"),
         }
     }
 }
@@ -88,58 +98,59 @@
 ///
 /// # Errors
 ///
-/// The journal or the listener can't be had.
+/// Returns an error if the journal, the listener or the fleet membership cannot be set up, or a shard ends
+/// unexpectedly.
 pub async fn run(config: Config) -> Result<(), RunError> {
-    let layouts = yarrowhill_journal::has_sharded_layout(&config.state)?;
+    let has_sharded_layout = yarrowhill_journal::has_sharded_layout(&config.state)?;
     #[cfg(feature = "shards")]
-    if config.shards > 1 || layouts {
+    if config.shards > 1 || has_sharded_layout {
         return crate::sharded::run(config).await;
     }
-    // Guards what stands there: it would be forgotten.
-    if layouts {
+    // A single journal would ignore the messages in the journals of the shards.
+    if has_sharded_layout {
         return Err(RunError::ShardedLayout(config.state));
     }
-    // Before anybody can see that it is ready: SIGHUP without a handler would end the process.
+    // Handlers are set before the process reports that it is ready: SIGHUP without a handler would end it.
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let Sockets { clients, idle } = Sockets::share(&config);
-    let (inputs, received) = mpsc::channel(INPUTS);
+    let DescriptorBudget { clients, idle } = DescriptorBudget::new(&config);
+    let (inputs, received) = mpsc::channel(INPUT_CHANNEL_CAPACITY);
     let (notices, batches) = mpsc::channel(1);
     tracing::debug!(settings = ?config.settings, "starts");
-    let joined = Joined::join(&config).await?;
-    let watcher = watcher(&config);
+    let fleet = FleetMembership::join(&config).await?;
+    let watch_config = watch_config(&config);
     let options = Options {
         settings: config.settings.clone(),
         names: config.names.clone(),
         seed: config.seed,
         state_dir: config.state,
-        max_journal_bytes: (config.limits.disk_mb * JOURNAL_PART) as u64,
+        max_journal_bytes: (config.limits.disk_mb * JOURNAL_BYTES_PER_DISK_MB) as u64,
         durability: config.durability,
         initial_list: config.known,
         shard: None,
     };
     let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
-    let pool = joined.guard_calls(Pool::new(idle, idle_close));
+    let pool = fleet.guard_calls(Pool::new(idle, idle_close));
     let engine = Engine::start(options, pool, notices, inputs.clone())?;
-    joined.tell_senders(std::slice::from_ref(&inputs));
-    let (told, at) = watch::channel(config.discovery);
-    tokio::spawn(discovery::watch(at.clone(), watcher, inputs.clone()));
-    tokio::spawn(notices::send_all(at, batches, inputs.clone()));
-    tokio::spawn(reload(hangup, told, joined.clone()));
-    let close = inputs.clone();
-    let leaving = joined.clone();
+    fleet.forward_sender_count(std::slice::from_ref(&inputs));
+    let (discovery_addr, discovery_updates) = watch::channel(config.discovery);
+    tokio::spawn(discovery::watch(discovery_updates.clone(), watch_config, inputs.clone()));
+    tokio::spawn(notices::send_all(discovery_updates, batches, inputs.clone()));
+    tokio::spawn(reload(hangup, discovery_addr, fleet.clone()));
+    let shutdown_input = inputs.clone();
+    let leaving_fleet = fleet.clone();
     tokio::spawn(async move {
         terminate.recv().await;
-        leaving.leave();
-        // The engine is gone only when the process ends.
-        let _ = close.send(Input::Shutdown).await;
+        leaving_fleet.leave();
+        // The channel is closed only when the process ends.
+        let _ = shutdown_input.send(Input::Shutdown).await;
     });
     let listener = TcpListener::bind(config.listen).await?;
-    let (phase, closing) = watch::channel(Phase::Serving);
-    let bodies = config.limits.memory_mb.max(1) * 1024 / BODIES;
-    let intake = Intake::new(config.names, config.settings, inputs, closing, bodies);
-    let intake = joined.guard_clients(intake);
-    let front = tokio::spawn(yarrowhill_http::serve(listener, clients, Arc::new(intake)));
-    yarrowhill_engine::run(engine, received, phase, front).await;
+    let (phase, phase_updates) = watch::channel(Phase::Serving);
+    let body_memory_kib = config.limits.memory_mb.max(1) * 1024 / BODY_MEMORY_DIVISOR;
+    let intake = Intake::new(config.names, config.settings, inputs, phase_updates, body_memory_kib);
+    let intake = fleet.guard_clients(intake);
+    let server = tokio::spawn(yarrowhill_http::serve(listener, clients, Arc::new(intake)));
+    yarrowhill_engine::run(engine, received, phase, server).await;
     Ok(())
 }
--- a/crates/yarrowhill/src/demo.rs
+++ b/crates/yarrowhill/src/demo.rs
@@ -1,4 +1,5 @@
-//! `yarrowhill demo`: the forwarder as a process of its own between stand-ins on loopback, shown live.
+//! `yarrowhill demo`: runs the forwarder as a process of its own between stand-ins on loopback, and shows its
+//! progress live.
 
 use rand::{RngExt, SeedableRng};
 use std::error::Error;
@@ -16,57 +17,76 @@
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 4000 },
     Class { name: "settle-order", idempotency: "side_effect", deadline_ms: 3000 },
 ];
-const KEY_LIFE: f64 = 2000.0;
-const WARM: f64 = 3000.0;
-/// How often the picture is drawn anew, where there is a terminal; else a line a second tells how it goes.
-const FRAME: Duration = Duration::from_millis(200);
+/// Retention of idempotency keys (ms).
+const KEY_TTL_MS: f64 = 2000.0;
+/// Time from the recovery of a destination to its full capacity (ms).
+const WARM_UP_MS: f64 = 3000.0;
+/// Interval between two updates of the display on a terminal. Without a terminal, one line per second shows
+/// the progress.
+const FRAME_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A destination of the demo.
 struct Partner {
     name: &'static str,
-    what: &'static str,
+    description: &'static str,
     kind: &'static str,
     endpoints: usize,
-    pace: f64,
+    latency_ms: f64,
     limit: f64,
     faults: Faults,
 }
 
 fn partners() -> Vec<Partner> {
-    let well = Faults::default();
-    let partner = |name, what, kind, endpoints, pace, limit, faults| Partner {
+    let no_faults = Faults::default();
+    let partner = |name, description, kind, endpoints, latency_ms, limit, faults| Partner {
         name,
-        what,
+        description,
         kind,
         endpoints,
-        pace,
+        latency_ms,
         limit,
         faults,
     };
     vec![
-        partner("issuer-a", "takes batches, well", "several", 2, 60.0, 40.0, well.clone()),
-        partner("issuer-b", "shuts for a while, comes back cold", "several", 2, 60.0, 30.0, well.clone()),
-        partner("fleet-c", "well", "plain", 2, 40.0, 60.0, well.clone()),
+        partner("issuer-a", "takes batches, no faults", "several", 2, 60.0, 40.0, no_faults.clone()),
+        partner(
+            "issuer-b",
+            "goes down for a while, recovers cold",
+            "several",
+            2,
+            60.0,
+            30.0,
+            no_faults.clone(),
+        ),
+        partner("fleet-c", "no faults", "plain", 2, 40.0, 60.0, no_faults.clone()),
         partner(
             "station-d",
-            "errors and spoilt answers",
+            "errors and malformed answers",
             "plain",
             1,
             50.0,
             40.0,
-            Faults { error: 0.08, malformed: 0.12, ..well.clone() },
+            Faults { error: 0.08, malformed: 0.12, ..no_faults.clone() },
+        ),
+        partner(
+            "station-e",
+            "hangs occasionally",
+            "plain",
+            1,
+            50.0,
+            40.0,
+            Faults { silent: 0.08, ..no_faults },
         ),
-        partner("station-e", "hangs now and then", "plain", 1, 50.0, 40.0, Faults { silent: 0.08, ..well }),
     ]
 }
 
-/// Plays it and gives no error only if every message is accounted for and all rules were kept.
+/// Runs the demo. It succeeds only if every message is accounted for and no rule is broken.
 pub(crate) fn run(seconds: u64, rate: u64, seed: u64) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    runtime.block_on(play(seconds as f64 * 1000.0, rate as f64, seed))
+    runtime.block_on(run_async(seconds as f64 * 1000.0, rate as f64, seed))
 }
 
-async fn play(traffic: f64, rate: f64, seed: u64) -> Result<(), Box<dyn Error>> {
+async fn run_async(traffic_ms: f64, rate: f64, seed: u64) -> Result<(), Box<dyn Error>> {
     let ledger = Ledger::default();
     let mut rng = Rng::seed_from_u64(seed);
     let partners = partners();
@@ -74,7 +94,7 @@
     for (n, p) in partners.iter().enumerate() {
         let dest = Destination::new(
             n as u64,
-            p.pace,
+            p.latency_ms,
             p.limit,
             p.faults.clone(),
             Rng::from_rng(&mut rng),
@@ -89,16 +109,16 @@
         dests.push(dest);
     }
     let discovery = Discovery::start(lines.clone(), ledger.clone()).await?;
-    let figures = ConfigParams {
+    let params = ConfigParams {
         classes: CLASSES.to_vec(),
-        key_ttl_ms: KEY_LIFE,
+        key_ttl_ms: KEY_TTL_MS,
         goal_time_ms: 800.0,
         slots: 24,
-        fail_back: [2.0, 1000.0, 0.17, WARM],
+        fail_back: [2.0, 1000.0, 0.17, WARM_UP_MS],
         seed,
         resources: Resources::default(),
     };
-    let config = configuration(&figures, free_address()?, discovery.addr, &lines);
+    let config = configuration(&params, free_address()?, discovery.addr, &lines);
     let folder = std::env::temp_dir().join(format!("yarrowhill-demo-{}", std::process::id()));
     let setup = Setup {
         program: std::env::current_exe()?,
@@ -111,45 +131,46 @@
     println!("The forwarder listens at {}, between {} stand-ins.", process.addr, endpoints.len());
 
     let start = Instant::now();
-    let clients = tokio::spawn(clients(process.addr, traffic, rate, rng, dests.clone(), ledger.clone()));
-    let outage = [traffic * 0.25, traffic * 0.5];
-    let longest = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
-    let end = traffic + longest + 600.0;
+    let clients =
+        tokio::spawn(run_clients(process.addr, traffic_ms, rate, rng, dests.clone(), ledger.clone()));
+    let outage = [traffic_ms * 0.25, traffic_ms * 0.5];
+    let max_deadline = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
+    let end = traffic_ms + max_deadline + 600.0;
     let mut screen = Screen::new();
-    let (mut down, mut back) = (false, false);
+    let (mut is_down, mut has_recovered) = (false, false);
     loop {
         let now = start.elapsed().as_secs_f64() * 1000.0;
-        if !down && now >= outage[0] {
-            down = true;
+        if !is_down && now >= outage[0] {
+            is_down = true;
             dests[1].go_down(true, outage[1] - outage[0]);
         }
-        if !back && now >= outage[1] {
-            back = true;
-            dests[1].recover(WARM);
+        if !has_recovered && now >= outage[1] {
+            has_recovered = true;
+            dests[1].recover(WARM_UP_MS);
         }
         if let Some(status) = process.try_exit_status()? {
-            return Err(format!("the forwarder ended: {status}").into());
+            return Err(format!("the forwarder ended unexpectedly: {status}").into());
         }
         let entries = ledger.entries();
         screen.draw(now, end, &partners, &entries)?;
         let open: usize = accounts(&entries).values().map(|a| a.open).sum();
-        if now >= end || (now >= traffic + 600.0 && clients.is_finished() && open == 0) {
+        if now >= end || (now >= traffic_ms + 600.0 && clients.is_finished() && open == 0) {
             break;
         }
-        sleep(FRAME).await;
+        sleep(FRAME_INTERVAL).await;
     }
     clients.await?;
     let entries = ledger.entries();
     process.signal("TERM").await?;
     process.wait_exit(Duration::from_secs(5)).await?;
-    // Left behind, it would be of no use to anybody.
+    // A failure to remove the temporary folder is harmless.
     let _ = std::fs::remove_dir_all(&folder);
-    summary(&entries)
+    print_summary(&entries)
 }
 
-async fn clients(
-    to: std::net::SocketAddr,
-    traffic: f64,
+async fn run_clients(
+    forwarder: std::net::SocketAddr,
+    traffic_ms: f64,
     rate: f64,
     mut rng: Rng,
     dests: Vec<Destination>,
@@ -159,12 +180,12 @@
     let (mut at, mut tasks) = (0.0, JoinSet::new());
     for n in 0.. {
         at += -rng.random::<f64>().max(1e-9).ln() * 1000.0 / rate;
-        if at > traffic {
+        if at > traffic_ms {
             break;
         }
         sleep_until(start + Duration::from_secs_f64(at / 1000.0)).await;
         let class = CLASSES[usize::from(rng.random_bool(0.36))];
-        // Orders go to issuers, notices to everybody.
+        // Orders (`settle-order`) go to the two issuers, notices to all partners.
         let dest = rng.random_range(0..if class.idempotency == "token" { dests.len() as u64 } else { 2 });
         let mut message = Message {
             id: format!("m{n}"),
@@ -176,39 +197,41 @@
         };
         let ledger = ledger.clone();
         tasks.spawn(async move {
-            let (_, wait) = submit(to, &message, ClientOptions::default(), &ledger).await;
-            // Refused with a wait, it comes again once.
+            let (_, wait) = submit(forwarder, &message, ClientOptions::default(), &ledger).await;
+            // A message that is refused with a wait is submitted once more after it.
             if let Some(wait) = wait {
                 sleep(Duration::from_secs_f64(wait / 1000.0)).await;
                 message.id.push_str("-again");
-                submit(to, &message, ClientOptions::default(), &ledger).await;
+                submit(forwarder, &message, ClientOptions::default(), &ledger).await;
             }
         });
     }
     while tasks.join_next().await.is_some() {}
 }
 
-/// The picture that is drawn over and over.
+/// Display of the progress, redrawn in place on a terminal.
 struct Screen {
-    live: bool,
+    is_terminal: bool,
+    /// Number of lines of the last frame.
     lines: usize,
-    told: f64,
+    /// Time of the last progress line without a terminal (ms).
+    last_line_at: f64,
 }
 
 impl Screen {
     fn new() -> Self {
-        Screen { live: stdout().is_terminal(), lines: 0, told: -1000.0 }
+        Screen { is_terminal: stdout().is_terminal(), lines: 0, last_line_at: -1000.0 }
     }
 
     fn draw(&mut self, now: f64, end: f64, partners: &[Partner], entries: &[Entry]) -> std::io::Result<()> {
-        if !self.live {
-            if now >= self.told + 1000.0 {
-                self.told = now;
-                let sum = |of: fn(&yarrowhill_checker::Account) -> usize| {
-                    accounts(entries).values().map(of).sum::<usize>()
+        if !self.is_terminal {
+            if now >= self.last_line_at + 1000.0 {
+                self.last_line_at = now;
+                let sum = |count: fn(&yarrowhill_checker::Account) -> usize| {
+                    accounts(entries).values().map(count).sum::<usize>()
                 };
                 println!(
-                    "{:4.1} s: {} taken on, {} delivered, {} open",
+                    "{:4.1} s: {} accepted, {} delivered, {} open",
                     now / 1000.0,
                     sum(|a| a.taken_on),
                     sum(|a| a.delivered),
@@ -217,38 +240,39 @@
             }
             return Ok(());
         }
-        let done = ((now / end).clamp(0.0, 1.0) * 40.0) as usize;
-        let mut text = vec![format!("[{:40}] {:4.1} s", "#".repeat(done), now / 1000.0)];
-        text.extend(by_class(entries));
+        let bar_length = ((now / end).clamp(0.0, 1.0) * 40.0) as usize;
+        let mut text = vec![format!("[{:40}] {:4.1} s", "#".repeat(bar_length), now / 1000.0)];
+        text.extend(class_table(entries));
         text.push(String::new());
         text.push(format!(
             "{:10} {:>6} {:>9} {:>8} {:>6} {:>8}",
             "partner", "calls", "delivered", "refused", "other", "in flight"
         ));
         for (n, p) in partners.iter().enumerate() {
-            let [calls, delivered, refused, other] = by_partner(n as u64, entries);
-            let out = calls.saturating_sub(delivered + refused + other);
+            let [calls, delivered, refused, other] = count_calls(n as u64, entries);
+            let in_flight = calls.saturating_sub(delivered + refused + other);
             text.push(format!(
-                "{:10} {calls:6} {delivered:9} {refused:8} {other:6} {out:8}   {}",
-                p.name, p.what
+                "{:10} {calls:6} {delivered:9} {refused:8} {other:6} {in_flight:8}   {}",
+                p.name, p.description
             ));
         }
-        let mut out = stdout().lock();
+        let mut output = stdout().lock();
         if self.lines > 0 {
-            write!(out, "\x1b[{}A", self.lines)?;
+            write!(output, "\x1b[{}A", self.lines)?;
         }
         for line in &text {
-            writeln!(out, "\x1b[2K{line}")?;
+            writeln!(output, "\x1b[2K{line}")?;
         }
         self.lines = text.len();
-        out.flush()
+        output.flush()
     }
 }
 
-fn by_class(entries: &[Entry]) -> Vec<String> {
+/// Returns the lines of a table of the messages by class.
+fn class_table(entries: &[Entry]) -> Vec<String> {
     let mut text = vec![format!(
         "{:14} {:>6} {:>7} {:>8} {:>9} {:>8} {:>11} {:>5}",
-        "class", "sent", "refused", "taken on", "delivered", "given up", "handed back", "open"
+        "class", "sent", "refused", "accepted", "delivered", "given up", "handed back", "open"
     )];
     for (class, a) in accounts(entries) {
         text.push(format!(
@@ -265,8 +289,8 @@
     text
 }
 
-/// Calls, and of these: delivered, turned away, ended otherwise.
-fn by_partner(partner: u64, entries: &[Entry]) -> [usize; 4] {
+/// Counts the calls to a partner: all, delivered, refused, and ended otherwise.
+fn count_calls(partner: u64, entries: &[Entry]) -> [usize; 4] {
     let mut calls = std::collections::BTreeSet::new();
     let mut count = [0; 4];
     for entry in entries {
@@ -289,33 +313,40 @@
     count
 }
 
-/// Every message is accounted for, and no rule is broken: else an error.
-fn summary(entries: &[Entry]) -> Result<(), Box<dyn Error>> {
-    println!("\nHow they ended:");
-    by_class(entries).iter().for_each(|line| println!("{line}"));
-    let effect = |c: &Class| if c.idempotency == "token" { Effect::Keyed(KEY_LIFE) } else { Effect::Unsafe };
-    let terms = RuleParams {
+/// Prints the outcomes. Returns an error if a message is not accounted for or a rule is broken.
+fn print_summary(entries: &[Entry]) -> Result<(), Box<dyn Error>> {
+    println!("\nOutcomes:");
+    class_table(entries).iter().for_each(|line| println!("{line}"));
+    let effect =
+        |c: &Class| if c.idempotency == "token" { Effect::Keyed(KEY_TTL_MS) } else { Effect::Unsafe };
+    let params = RuleParams {
         classes: CLASSES.iter().map(|c| (c.name.to_owned(), effect(c))).collect(),
         overload_for_ms: 1000.0,
-        warm_up_ms: WARM,
+        warm_up_ms: WARM_UP_MS,
         ..RuleParams::default()
     };
-    let breaches = judge(&terms, entries);
+    let breaches = judge(&params, entries);
     let accounts = accounts(entries);
     let open: usize = accounts.values().map(|a| a.open).sum();
     for (class, a) in &accounts {
         let ends = a.delivered + a.given_up + a.handed_back + a.over + a.open;
         println!(
-            "{class}: {} taken on = {} delivered + {} given up + {} handed back + {} over + {} open",
+            "{class}: {} accepted = {} delivered + {} given up + {} handed back + {} over + {} open",
             a.taken_on, a.delivered, a.given_up, a.handed_back, a.over, a.open
         );
         if ends != a.taken_on || a.sent != a.taken_on + a.refused + a.failed {
-            return Err(format!("{class}: the account does not add up").into());
+            return Err(format!(
+                "{class}: outcomes do not add up: {} accepted and {ends} ended or open, {} sent",
+                a.taken_on, a.sent
+            )
+            .into());
         }
     }
-    breaches.iter().for_each(|b| println!("broken: {b}"));
+    breaches.iter().for_each(|b| println!("rule broken: {b}"));
     if open > 0 || !breaches.is_empty() {
-        return Err("not every message is accounted for".into());
+        return Err(
+            format!("{open} messages not accounted for, {} violations of the rules", breaches.len()).into()
+        );
     }
     println!("Every message is accounted for; none of the six rules is broken.");
     Ok(())
--- a/crates/yarrowhill/src/fleet.rs
+++ b/crates/yarrowhill/src/fleet.rs
@@ -1,4 +1,5 @@
-//! What the daemon has of its fleet: nothing in builds that know none, and where no document is named.
+//! Optional membership in a fleet. It does nothing in builds without the feature `members`, and where no
+//! fleet document is configured.
 
 use crate::config::Config;
 use crate::daemon::RunError;
@@ -8,54 +9,54 @@
 use yarrowhill_engine::Input;
 use yarrowhill_http::{Intake, Pool};
 
-/// The daemon's place in its fleet, if it has one.
+/// Membership of the daemon in its fleet, if it has one.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Joined {
+pub(crate) struct FleetMembership {
     #[cfg(feature = "members")]
     member: Option<Member>,
 }
 
 #[cfg(feature = "members")]
-impl Joined {
-    /// Joins the fleet that the configuration names.
+impl FleetMembership {
+    /// Joins the fleet that the configuration names, if any.
     ///
     /// # Errors
     ///
-    /// The document can't be read, or the sockets or the folder can't be had.
+    /// Returns an error if the fleet document cannot be read or parsed, or the member cannot be started.
     pub(crate) async fn join(config: &Config) -> Result<Self, RunError> {
-        Ok(Joined { member: Member::join(config).await? })
+        Ok(FleetMembership { member: Member::join(config).await? })
     }
 
-    /// Calls look at what the process may do.
+    /// Makes calls to endpoints conditional on what the member may do.
     pub(crate) fn guard_calls(&self, pool: Pool) -> Pool {
         pool.with_gate(Member::gate(&self.member))
     }
 
-    /// Clients do.
+    /// Makes the intake from clients conditional on what the member may do.
     pub(crate) fn guard_clients(&self, intake: Intake) -> Intake {
         intake.with_gate(Member::gate(&self.member))
     }
 
-    /// Engines hear among how many what all share is divided.
-    pub(crate) fn tell_senders(&self, engines: &[Sender<Input>]) {
-        self.member.iter().for_each(|member| member.tell_senders(engines.to_vec()));
+    /// Reports to the engines among how many senders the shared limits are divided.
+    pub(crate) fn forward_sender_count(&self, engines: &[Sender<Input>]) {
+        self.member.iter().for_each(|member| member.forward_sender_count(engines.to_vec()));
     }
 
-    /// The document is to be read again.
+    /// Reloads the fleet document.
     pub(crate) fn reload(&self) {
         self.member.iter().for_each(Member::reload);
     }
 
-    /// The process is to end.
+    /// Announces to the fleet that the process is shutting down.
     pub(crate) fn leave(&self) {
         self.member.iter().for_each(Member::leave);
     }
 }
 
 #[cfg(not(feature = "members"))]
-impl Joined {
+impl FleetMembership {
     pub(crate) async fn join(_: &Config) -> Result<Self, RunError> {
-        Ok(Joined::default())
+        Ok(FleetMembership::default())
     }
 
     pub(crate) fn guard_calls(&self, pool: Pool) -> Pool {
@@ -66,7 +67,7 @@
         intake
     }
 
-    pub(crate) fn tell_senders(&self, _: &[Sender<Input>]) {}
+    pub(crate) fn forward_sender_count(&self, _: &[Sender<Input>]) {}
 
     pub(crate) fn reload(&self) {}
 
--- a/crates/yarrowhill/src/lib.rs
+++ b/crates/yarrowhill/src/lib.rs
@@ -1,4 +1,4 @@
-//! The forwarder as a daemon: it only wires the packages, and reads the configuration.
+//! The forwarder as a daemon: reads the configuration and wires the packages together.
 
 mod config;
 mod daemon;
@@ -15,22 +15,22 @@
 
 use std::error::Error;
 
-/// Runs the forwarder that the environment describes, until it is told to end.
+/// Runs the forwarder that the environment variables configure, until SIGTERM.
 ///
 /// # Errors
 ///
-/// The configuration can't be read, or the forwarder can't be started.
+/// Returns an error if the configuration cannot be read or the forwarder cannot be started.
 pub fn start() -> Result<(), Box<dyn Error>> {
     let config = Config::from_env()?;
     #[cfg(feature = "shards")]
     if config.shards > 1 {
-        // Clients are served on as many threads as there are shards, which have threads of their own.
+        // Clients are served on as many threads as there are shards; the shards have threads of their own.
         let threads = config.shards;
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build()?;
         return Ok(runtime.block_on(run(config))?);
     }
-    // There is one core: a second thread would only cost.
+    // The platform gives one core: a second thread would only add overhead.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(config))?;
     Ok(())
--- a/crates/yarrowhill/src/main.rs
+++ b/crates/yarrowhill/src/main.rs
@@ -23,166 +23,175 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs the forwarder; the same as no subcommand. BALANCER_CONFIG and BALANCER_STATE name its file and folder.
+    /// Runs the forwarder, as without a subcommand. BALANCER_CONFIG is the path of its configuration file,
+    /// BALANCER_STATE that of its state folder.
     Run,
-    /// Reads a configuration file as `run` would, and says what is wrong with it.
+    /// Checks a configuration file as `run` reads it, and reports the first error.
     CheckConfig {
-        /// The file.
+        /// Path of the configuration file.
         file: PathBuf,
     },
-    /// Routing documents.
+    /// Works with routing documents.
     #[cfg(feature = "routes")]
     Config {
         #[command(subcommand)]
-        what: Documents,
+        command: ConfigCommand,
     },
-    /// Shows who of the fleet is there, as a running forwarder knows it, and what follows for it.
+    /// Shows the membership of the fleet as a running forwarder sees it, and what it may do accordingly.
     #[cfg(feature = "members")]
-    Members(Look),
-    /// What the forwarders of a fleet share, as a running one knows it.
+    Members(QueryArgs),
+    /// Shows what the forwarders of a fleet share, as a running forwarder sees it.
     #[cfg(feature = "members")]
     Fleet {
         #[command(subcommand)]
-        what: Shared,
+        command: FleetCommand,
     },
-    /// Work that one forwarder of a fleet does at a time: who does it, under which token, and for how long.
+    /// Shows the duties, which one forwarder of the fleet performs at a time: holder, fencing token and
+    /// remaining lease.
     #[cfg(feature = "members")]
     Duties {
         #[command(subcommand)]
-        wish: Option<DutyWish>,
-        /// Whom to ask.
+        request: Option<DutyRequest>,
         #[command(flatten)]
-        look: Look,
+        query: QueryArgs,
     },
-    /// Shows the forwarder at work between stand-ins on loopback, some of them failing, and accounts for every
-    /// message.
+    /// Runs the forwarder between stand-ins on loopback, some of them failing, shows its progress and
+    /// accounts for every message.
     #[cfg(feature = "demo")]
     Demo {
-        /// How long clients hand in messages (s).
+        /// Time during which clients submit messages (s).
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=600))]
         seconds: u64,
-        /// Messages a second.
+        /// Messages per second.
         #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u64).range(1..=1000))]
         rate: u64,
-        /// The seed of all chance in it.
+        /// Seed of the random choices of clients and stand-ins.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
 }
 
-/// What is shared.
+/// Subcommands of `fleet`.
 #[cfg(feature = "members")]
 #[derive(Subcommand)]
-enum Shared {
-    /// Limits: what this forwarder may send to each destination, what it lends and borrows, and who keeps.
-    Limits(Look),
-    /// Waits that destinations told to one of them and that all keep.
-    Knowledge(Look),
-    /// Why calls to a destination begin or are held here now.
+enum FleetCommand {
+    /// Shows the shared limits: what this forwarder may send to each destination, lends and borrows, and the
+    /// coordinator.
+    Limits(QueryArgs),
+    /// Shows the waits that destinations returned to any member, which all members keep, and the outages.
+    Knowledge(QueryArgs),
+    /// Explains why calls to a destination are sent or delayed by this forwarder now.
     Explain {
-        /// The destination's number.
+        /// Number of the destination.
         dest: u64,
-        /// Whom to ask.
         #[command(flatten)]
-        look: Look,
+        query: QueryArgs,
     },
 }
 
-/// What is wanted of a duty.
+/// Subcommands of `duties`.
 #[cfg(feature = "members")]
 #[derive(Subcommand)]
-enum DutyWish {
-    /// That its holder gives it up: another one takes it.
+enum DutyRequest {
+    /// Asks the holder of a duty to give it up, so that another member takes it.
     Yield {
-        /// The duty's name.
+        /// Name of the duty.
         duty: String,
     },
-    /// That a member holds it whenever it is there; without one, whoever follows from the rule.
+    /// Pins a duty to a member, which holds it whenever it is live; without a member, removes the pin.
     Pin {
-        /// The duty's name.
+        /// Name of the duty.
         duty: String,
-        /// The member's name.
+        /// Name of the member.
         member: Option<String>,
     },
 }
 
-/// Whom to ask, and how to show what it says.
+/// Options that select the forwarder to query and the form of the output.
 #[cfg(feature = "members")]
 #[derive(clap::Args)]
-struct Look {
-    /// The forwarder's state folder; without it BALANCER_STATE.
+struct QueryArgs {
+    /// State folder of the forwarder; defaults to BALANCER_STATE.
     #[arg(long)]
     state: Option<PathBuf>,
-    /// Its control socket.
+    /// Control socket of the forwarder; takes precedence over --state.
     #[arg(long)]
     socket: Option<PathBuf>,
-    /// Again each second.
+    /// Repeats the query each second.
     #[arg(long)]
     watch: bool,
-    /// For programs: one JSON object a look.
+    /// Prints one JSON object per query, for programs.
     #[arg(long)]
     json: bool,
 }
 
-/// What may be done with a routing document.
+/// Subcommands of `config`.
 #[cfg(feature = "routes")]
 #[derive(Subcommand)]
-enum Documents {
-    /// Tells every fault of a document: a file, or a folder of fragments. Ends with 1 if there is one.
+enum ConfigCommand {
+    /// Reports every fault of a routing document, which is a file or a folder of fragments. The exit status
+    /// is 1 if there is any.
     Check {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// For programs: one JSON object.
+        /// Prints one JSON object, for programs.
         #[arg(long)]
         json: bool,
     },
 }
 
+/// Calls `show` with the control socket that the options select, and with `watch` and `json`.
 #[cfg(feature = "members")]
-fn ask(look: Look, show: impl Fn(&std::path::Path, bool, bool) -> Told) -> Told {
-    let Look { state, socket, watch, json } = look;
+fn query(args: QueryArgs, show: impl Fn(&std::path::Path, bool, bool) -> CommandResult) -> CommandResult {
+    let QueryArgs { state, socket, watch, json } = args;
     control::socket(socket, state).and_then(|socket| show(&socket, watch, json))
 }
 
 #[cfg(feature = "members")]
-type Told = Result<(), Box<dyn std::error::Error>>;
+type CommandResult = Result<(), Box<dyn std::error::Error>>;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // A log that can't be written must not end the forwarder: to tell of it would panic.
+    // A failed write to the log must not end the forwarder: reporting it on standard error could panic.
     tracing_subscriber::fmt()
-        .with_max_level(level())
+        .with_max_level(log_level())
         .with_writer(std::io::stderr)
         .log_internal_errors(false)
         .with_ansi(false)
         .with_target(false)
         .init();
-    let done = match cli.command.unwrap_or(Command::Run) {
+    let result = match cli.command.unwrap_or(Command::Run) {
         Command::Run => start(),
-        Command::CheckConfig { file } => check(&file),
+        Command::CheckConfig { file } => check_config(&file),
         #[cfg(feature = "members")]
-        Command::Members(look) => ask(look, control::members),
+        Command::Members(args) => query(args, control::members),
         #[cfg(feature = "members")]
-        Command::Duties { wish: None, look } => ask(look, control::duties),
+        Command::Duties { request: None, query: args } => query(args, control::duties),
         #[cfg(feature = "members")]
-        Command::Duties { wish: Some(wish), look } => ask(look, |socket, _, _| match &wish {
-            DutyWish::Yield { duty } => control::wish(socket, "duty-yield", duty, None),
-            DutyWish::Pin { duty, member } => control::wish(socket, "duty-pin", duty, member.as_deref()),
-        }),
+        Command::Duties { request: Some(request), query: args } => {
+            query(args, |socket, _, _| match &request {
+                DutyRequest::Yield { duty } => control::request_duty(socket, "duty-yield", duty, None),
+                DutyRequest::Pin { duty, member } => {
+                    control::request_duty(socket, "duty-pin", duty, member.as_deref())
+                }
+            })
+        }
         #[cfg(feature = "members")]
-        Command::Fleet { what: Shared::Limits(look) } => ask(look, control::limits),
+        Command::Fleet { command: FleetCommand::Limits(args) } => query(args, control::limits),
         #[cfg(feature = "members")]
-        Command::Fleet { what: Shared::Knowledge(look) } => ask(look, control::knowledge),
+        Command::Fleet { command: FleetCommand::Knowledge(args) } => query(args, control::knowledge),
         #[cfg(feature = "members")]
-        Command::Fleet { what: Shared::Explain { dest, look } } => {
-            ask(look, |socket, watch, json| control::explain(socket, dest, watch, json))
+        Command::Fleet { command: FleetCommand::Explain { dest, query: args } } => {
+            query(args, |socket, watch, json| control::explain(socket, dest, watch, json))
         }
         #[cfg(feature = "routes")]
-        Command::Config { what: Documents::Check { path, json } } => return routes::check(&path, json),
+        Command::Config { command: ConfigCommand::Check { path, json } } => {
+            return routes::check(&path, json);
+        }
         #[cfg(feature = "demo")]
         Command::Demo { seconds, rate, seed } => demo::run(seconds, rate, seed),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("yarrowhill: {e}");
@@ -191,15 +200,15 @@
     }
 }
 
-/// `YARROWHILL_LOG` names the least level that is told. With `debug` that is every attempt of every message: for a
-/// look at one day, not for service.
-fn level() -> tracing::Level {
-    let named = std::env::var("YARROWHILL_LOG").ok();
-    named.and_then(|name| name.parse().ok()).unwrap_or(tracing::Level::INFO)
+/// Returns the log level that `YARROWHILL_LOG` sets, `info` by default. `debug` logs every attempt of every
+/// message: it is meant for analysing a limited period, not for permanent use in production.
+fn log_level() -> tracing::Level {
+    let level = std::env::var("YARROWHILL_LOG").ok();
+    level.and_then(|name| name.parse().ok()).unwrap_or(tracing::Level::INFO)
 }
 
-fn check(file: &std::path::Path) -> Result<(), Box<dyn Error>> {
+fn check_config(file: &std::path::Path) -> Result<(), Box<dyn Error>> {
     Config::read(file, PathBuf::new())?;
-    println!("{}: read without a fault", file.display());
+    println!("{}: no errors", file.display());
     Ok(())
 }
--- a/crates/yarrowhill/src/member.rs
+++ b/crates/yarrowhill/src/member.rs
@@ -1,4 +1,5 @@
-//! The forwarder as a member of its fleet: wires the package that speaks with the others to the engine and the fronts.
+//! The forwarder as a member of its fleet: connects the fleet package to the engines, the calls and the
+//! intake.
 
 use crate::config::Config;
 use crate::daemon::RunError;
@@ -13,17 +14,17 @@
 };
 use yarrowhill_policy::api::DestId;
 
-/// The control socket's name in the state folder.
+/// File name of the control socket in the state folder.
 pub const CONTROL_SOCKET: &str = "control";
 
-/// Its place in the fleet.
+/// Membership of this forwarder in its fleet.
 #[derive(Clone)]
 pub(crate) struct Member {
     handle: Handle,
     name: String,
-    document: PathBuf,
-    /// A wait that is as long as this is not one of a limit.
-    shut: Duration,
+    document_path: PathBuf,
+    /// Minimum wait that counts as an outage of the destination, and is shared with the other members.
+    min_shared_wait: Duration,
 }
 
 impl std::fmt::Debug for Member {
@@ -37,20 +38,22 @@
         self.handle.permits().send_calls
     }
 
-    fn admit_call(&self, dest: DestId, further: bool, again: bool) -> Result<(), Duration> {
-        self.handle.begin(dest, further, again)
+    fn admit_call(&self, dest: DestId, is_retry: bool, was_delayed: bool) -> Result<(), Duration> {
+        self.handle.begin(dest, is_retry, was_delayed)
     }
 
-    fn call_ended(&self, dest: DestId, took: Duration, how: CallResult) {
-        let how = match how {
-            // A short wait comes from a limit that others use up, and would make all give way in step; a long one from a
-            // shut door, which is one for all.
-            CallResult::Wait(wait) if wait >= self.shut => return self.handle.record_wait(dest, wait),
+    fn call_ended(&self, dest: DestId, elapsed: Duration, result: CallResult) {
+        let outcome = match result {
+            // A short wait comes from a rate limit that other senders use up: shared, it would make all
+            // members pause in step. A long wait comes from an outage, which affects all members.
+            CallResult::Wait(wait) if wait >= self.min_shared_wait => {
+                return self.handle.record_wait(dest, wait);
+            }
             CallResult::Wait(_) | CallResult::Refused => CallOutcome::Refused,
             CallResult::Served => CallOutcome::Served,
             CallResult::Failed => CallOutcome::Failed,
         };
-        self.handle.record_call_end(dest, took, how);
+        self.handle.record_call_end(dest, elapsed, outcome);
     }
 
     fn may_accept(&self) -> bool {
@@ -67,112 +70,116 @@
     ///
     /// # Errors
     ///
-    /// The document can't be read, or the sockets or the folder can't be had.
+    /// Returns an error if the fleet document cannot be read or parsed, or the member cannot be started.
     pub(crate) async fn join(config: &Config) -> Result<Option<Self>, RunError> {
         let Some((name, path)) = &config.member else { return Ok(None) };
-        let document = document(path, name)?;
-        let slow_start = document.share_outages.then(|| ramp(config, &document));
+        let document = read_document(path, name)?;
+        let slow_start = document.share_outages.then(|| slow_start(config, &document));
         let options = Options { name, document, state_folder: &config.state, seed: config.seed, slow_start };
         let node = Node::start(options).await.map_err(|e| RunError::Fleet(e.to_string()))?;
         let handle = node.handle();
-        let told = handle.clone();
-        let answer = move |what: String, with: Value| {
-            let told = told.clone();
+        let control_handle = handle.clone();
+        let answer = move |question: String, args: Value| {
+            let handle = control_handle.clone();
             async move {
-                match what.as_str() {
-                    "members" => serde_json::to_value(told.status()).map_err(|e| e.to_string()),
-                    "limits" => serde_json::to_value(told.limits_status()).map_err(|e| e.to_string()),
-                    "knowledge" => serde_json::to_value(told.knowledge_status()).map_err(|e| e.to_string()),
-                    "duties" => serde_json::to_value(told.duties_status()).map_err(|e| e.to_string()),
-                    "duty-yield" => wish(&told, &with, OperatorRequest::Yield),
-                    "duty-pin" => match with["member"].as_str().map(|name| member(&told, name)) {
-                        None => wish(&told, &with, OperatorRequest::Pin(None)),
-                        Some(Some(id)) => wish(&told, &with, OperatorRequest::Pin(Some(id))),
-                        Some(None) => Err(format!("{} is not a member", with["member"])),
+                match question.as_str() {
+                    "members" => serde_json::to_value(handle.status()).map_err(|e| e.to_string()),
+                    "limits" => serde_json::to_value(handle.limits_status()).map_err(|e| e.to_string()),
+                    "knowledge" => serde_json::to_value(handle.knowledge_status()).map_err(|e| e.to_string()),
+                    "duties" => serde_json::to_value(handle.duties_status()).map_err(|e| e.to_string()),
+                    "duty-yield" => request_duty(&handle, &args, OperatorRequest::Yield),
+                    "duty-pin" => match args["member"].as_str().map(|name| member_id(&handle, name)) {
+                        None => request_duty(&handle, &args, OperatorRequest::Pin(None)),
+                        Some(Some(id)) => request_duty(&handle, &args, OperatorRequest::Pin(Some(id))),
+                        Some(None) => Err(format!("{} is not a member", args["member"])),
                     },
-                    other => {
-                        Err(format!("{other:?} is unknown; members, limits, knowledge and duties are known"))
-                    }
+                    other => Err(format!(
+                        "unknown question {other:?}: expected members, limits, knowledge, duties, \
+                         duty-yield or duty-pin"
+                    )),
                 }
             }
         };
-        // A forwarder that nobody can ask goes on serving.
+        // Without its control socket the forwarder still serves messages.
         match serve(&config.state.join(CONTROL_SOCKET), answer) {
-            Ok(served) => drop(tokio::spawn(served)),
-            Err(e) => tracing::error!("control: {e}"),
+            Ok(server) => drop(tokio::spawn(server)),
+            Err(e) => tracing::error!("control: cannot open the control socket: {e}"),
         }
         tokio::spawn(node.run());
-        // As the module tells them apart.
-        let shut = Duration::from_micros(config.settings.warm_up_duration.unsigned_abs() / 4);
-        Ok(Some(Member { handle, name: name.clone(), document: path.clone(), shut }))
+        // The decision module separates short from long waits by the same threshold.
+        let min_shared_wait = Duration::from_micros(config.settings.warm_up_duration.unsigned_abs() / 4);
+        Ok(Some(Member { handle, name: name.clone(), document_path: path.clone(), min_shared_wait }))
     }
 
-    /// As what is looked at before a byte leaves.
-    pub(crate) fn gate(of: &Option<Self>) -> Option<Arc<dyn Gate>> {
-        of.clone().map(|member| Arc::new(member) as Arc<dyn Gate>)
+    /// Returns the gate that calls and clients have to pass.
+    pub(crate) fn gate(member: &Option<Self>) -> Option<Arc<dyn Gate>> {
+        member.clone().map(|member| Arc::new(member) as Arc<dyn Gate>)
     }
 
-    /// Tells engines among how many what all share is divided, now and at each change.
-    pub(crate) fn tell_senders(&self, engines: Vec<Sender<Input>>) {
+    /// Reports to the engines, now and at each change, among how many senders the shared limits are divided.
+    pub(crate) fn forward_sender_count(&self, engines: Vec<Sender<Input>>) {
         let mut senders = self.handle.senders();
         senders.mark_changed();
         tokio::spawn(async move {
             while senders.changed().await.is_ok() {
-                let now = *senders.borrow_and_update();
+                let count = *senders.borrow_and_update();
                 for engine in &engines {
-                    // An engine is gone only when the process ends.
-                    let _ = engine.send(Input::Senders(now)).await;
+                    // The channel is closed only when the process ends.
+                    let _ = engine.send(Input::Senders(count)).await;
                 }
             }
         });
     }
 
-    /// Reads the document again: what can't be read, or does not follow, changes nothing.
+    /// Reloads the fleet document. A document that cannot be read or parsed, or whose roster is not a valid
+    /// successor, changes nothing.
     pub(crate) fn reload(&self) {
-        let changed = document(&self.document, &self.name)
-            .and_then(|d| self.handle.apply_document(d).map_err(|e| RunError::Fleet(e.to_string())));
-        match changed {
-            Ok(()) => tracing::info!("fleet: document read again"),
-            Err(e) => tracing::error!("fleet: document not read again: {e}"),
+        let result = read_document(&self.document_path, &self.name).and_then(|document| {
+            self.handle.apply_document(document).map_err(|e| RunError::Fleet(e.to_string()))
+        });
+        match result {
+            Ok(()) => tracing::info!("fleet: document reloaded"),
+            Err(e) => tracing::error!("fleet: document not reloaded, the old one stays in force: {e}"),
         }
     }
 
-    /// The process is to end.
+    /// Announces to the fleet that the process is shutting down.
     pub(crate) fn leave(&self) {
         self.handle.leave();
     }
 }
 
-/// The number of a member by its name.
-fn member(handle: &Handle, name: &str) -> Option<u64> {
+/// Returns the id of the member with this name.
+fn member_id(handle: &Handle, name: &str) -> Option<u64> {
     handle.roster().members().find(|(_, seat)| seat.name == name).map(|(id, _)| id.0)
 }
 
-/// Passes on what an operator wants of a duty.
-fn wish(handle: &Handle, with: &Value, wish: OperatorRequest) -> Result<Value, String> {
-    let duty = with["duty"].as_str().ok_or("name the duty")?;
-    handle.operator_request(duty, wish).map(|()| Value::from("asked")).map_err(|e| e.to_string())
+/// Passes an operator request on a duty to the fleet.
+fn request_duty(handle: &Handle, args: &Value, request: OperatorRequest) -> Result<Value, String> {
+    let duty = args["duty"].as_str().ok_or("the name of the duty is missing")?;
+    handle.operator_request(duty, request).map(|()| Value::from("asked")).map_err(|e| e.to_string())
 }
 
-/// How destinations come back, by the settings. One tries so often that a call and the word of it have had their time: within
-/// the shortest aim, or two probe periods.
-fn ramp(config: &Config, document: &Document) -> SlowStart {
+/// Returns the slow start of recovered destinations according to the settings. The probe interval leaves time
+/// for a call and the report of its outcome: the shortest target latency, but at least two probe periods of
+/// the membership.
+fn slow_start(config: &Config, document: &Document) -> SlowStart {
     let settings = &config.settings;
-    let aims =
-        settings.classes.iter().map(|class| class.target_latency.unsigned_abs()).filter(|aim| *aim > 0);
-    let turn = aims.min().unwrap_or(0).max(document.timing.period * 2);
+    let latencies = settings.classes.iter().map(|class| class.target_latency.unsigned_abs());
+    let min_latency = latencies.filter(|latency| *latency > 0).min().unwrap_or(0);
+    let probe_interval = min_latency.max(document.timing.period * 2);
     SlowStart {
-        probe_interval: turn,
+        probe_interval,
         warm_up: settings.warm_up_duration.unsigned_abs(),
         initial_fraction: settings.initial_capacity_share,
     }
 }
 
-fn document(path: &Path, name: &str) -> Result<Document, RunError> {
-    let text =
-        std::fs::read_to_string(path).map_err(|e| RunError::Fleet(format!("{}: {e}", path.display())))?;
+fn read_document(path: &Path, name: &str) -> Result<Document, RunError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| RunError::Fleet(format!("cannot read {}: {e}", path.display())))?;
     parse_document(&path.display().to_string(), &text, name).map_err(|faults| {
-        let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        RunError::Fleet(told.join("; "))
+        let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        RunError::Fleet(faults.join("; "))
     })
 }
--- a/crates/yarrowhill/src/routes.rs
+++ b/crates/yarrowhill/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routing documents on disk: a file, or a folder of fragments that are read in the order of their names.
+//! Routing documents on disk: a file, or a folder of fragments, which are read in the order of their names.
 
 use std::fs;
 use std::io;
@@ -6,23 +6,25 @@
 use std::process::ExitCode;
 use yarrowhill_routes::{Diagnostic, Location, MAX_FILE_BYTES, Routes, parse};
 
-/// Tells what a document holds, or every fault of it.
+/// Prints a summary of a document, or every fault of it.
 pub fn check(path: &Path, json: bool) -> ExitCode {
-    let read = read_at(path);
-    let faults = read.as_ref().err().map(Vec::as_slice).unwrap_or_default();
+    let result = read(path);
+    let faults = result.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if json {
-        let fault = |f: &Diagnostic| {
-            let Diagnostic { location: Location { file, line, column }, problem: what, remedy } = f;
-            serde_json::json!({"file": file, "line": line, "column": column, "what": what, "remedy": remedy})
+        let to_json = |fault: &Diagnostic| {
+            let Diagnostic { location: Location { file, line, column }, problem, remedy } = fault;
+            serde_json::json!({
+                "file": file, "line": line, "column": column, "what": problem, "remedy": remedy
+            })
         };
-        println!("{}", serde_json::json!({"faults": faults.iter().map(fault).collect::<Vec<_>>()}));
+        println!("{}", serde_json::json!({"faults": faults.iter().map(to_json).collect::<Vec<_>>()}));
     } else {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
     }
-    match read {
+    match result {
         Ok(routes) if !json => {
             println!(
-                "{}: {} partners, {} rules, no fault",
+                "{}: {} partners, {} rules, no faults",
                 path.display(),
                 routes.partners.len(),
                 routes.rules.len()
@@ -38,23 +40,23 @@
 ///
 /// # Errors
 ///
-/// Every fault of it; also what can't be read. A folder without a fragment is a fault.
-pub fn read_at(path: &Path) -> Result<Routes, Vec<Diagnostic>> {
-    let files = fragments(path).map_err(|e| vec![unread(path, &e)])?;
+/// Returns every fault of the document, or the files that cannot be read. A folder without a fragment is a
+/// fault.
+pub fn read(path: &Path) -> Result<Routes, Vec<Diagnostic>> {
+    let files = fragments(path).map_err(|e| vec![read_error(path, &e)])?;
     if files.is_empty() {
-        let what = "no fragment stands in this folder".to_owned();
         return Err(vec![Diagnostic {
-            location: whole(path),
-            problem: what,
-            remedy: "add a file that ends in .kdl".into(),
+            location: file_location(path),
+            problem: "no fragment in this folder".into(),
+            remedy: "add a file whose name ends in .kdl".into(),
         }]);
     }
-    let texts = files.into_iter().map(|file| text(&file).map(|text| (file.display().to_string(), text)));
-    // What stands in the rest can't be judged without the missing part.
-    let (texts, missing): (Vec<_>, Vec<_>) = texts.partition(Result::is_ok);
-    let missing: Vec<Diagnostic> = missing.into_iter().filter_map(Result::err).collect();
-    if !missing.is_empty() {
-        return Err(missing);
+    let texts = files.into_iter().map(|file| read_text(&file).map(|text| (file.display().to_string(), text)));
+    // The rest is not checked without the unreadable fragments: it may refer to them.
+    let (texts, unreadable): (Vec<_>, Vec<_>) = texts.partition(Result::is_ok);
+    let unreadable: Vec<Diagnostic> = unreadable.into_iter().filter_map(Result::err).collect();
+    if !unreadable.is_empty() {
+        return Err(unreadable);
     }
     parse(&texts.into_iter().filter_map(Result::ok).collect::<Vec<_>>())
 }
@@ -70,28 +72,28 @@
     Ok(files)
 }
 
-/// A text that is far too long is not taken into memory first.
-fn text(file: &Path) -> Result<String, Diagnostic> {
-    let len = fs::metadata(file).map_err(|e| unread(file, &e))?.len();
+/// Reads a fragment. A file above the maximum size is not loaded into memory.
+fn read_text(file: &Path) -> Result<String, Diagnostic> {
+    let len = fs::metadata(file).map_err(|e| read_error(file, &e))?.len();
     if len > MAX_FILE_BYTES as u64 {
-        let what = format!("{len} bytes, and {MAX_FILE_BYTES} are the most");
         return Err(Diagnostic {
-            location: whole(file),
-            problem: what,
-            remedy: "cut it into fragments".into(),
+            location: file_location(file),
+            problem: format!("file too large: {len} bytes, the maximum is {MAX_FILE_BYTES}"),
+            remedy: "split it into fragments".into(),
         });
     }
-    fs::read_to_string(file).map_err(|e| unread(file, &e))
+    fs::read_to_string(file).map_err(|e| read_error(file, &e))
 }
 
-fn unread(path: &Path, e: &io::Error) -> Diagnostic {
+fn read_error(path: &Path, e: &io::Error) -> Diagnostic {
     Diagnostic {
-        location: whole(path),
-        problem: format!("can't be read: {e}"),
-        remedy: "see that it is there and is text".into(),
+        location: file_location(path),
+        problem: format!("cannot be read: {e}"),
+        remedy: "check that it exists, is readable and is UTF-8 text".into(),
     }
 }
 
-fn whole(path: &Path) -> Location {
+/// Returns the location of a file as a whole.
+fn file_location(path: &Path) -> Location {
     Location { file: path.display().to_string(), ..Location::default() }
 }
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -1,9 +1,12 @@
-//! The daemon with several engines: each on a thread of its own, with its destinations, its journal and its calls;
-//! clients on the threads of the runtime that this is called on.
+//! The daemon with several engines. Each runs on a thread of its own, with its own destinations, journal and
+//! calls; clients are served on the threads of the runtime that calls [`run`].
 
 use crate::config::Config;
-use crate::daemon::{BODIES, INPUTS, JOURNAL_PART, RunError, Sockets, reload, watcher};
-use crate::fleet::Joined;
+use crate::daemon::{
+    BODY_MEMORY_DIVISOR, DescriptorBudget, INPUT_CHANNEL_CAPACITY, JOURNAL_BYTES_PER_DISK_MB, RunError,
+    reload, watch_config,
+};
+use crate::fleet::FleetMembership;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::thread;
@@ -19,150 +22,175 @@
 };
 use yarrowhill_http::{Intake, Pool, discovery, notices};
 
-/// What one shard's thread is given.
-struct Work {
+/// What the thread of one shard needs.
+struct ShardContext {
     options: Options,
+    /// Maximum number of idle connections to endpoints.
     idle: usize,
     idle_close: Duration,
     discovery: watch::Receiver<std::net::SocketAddr>,
     inputs: Sender<Input>,
     received: Receiver<Input>,
     phase: watch::Sender<Phase>,
-    /// Clients are served no longer.
-    served: watch::Receiver<bool>,
+    /// True once the server for clients has ended.
+    server_ended: watch::Receiver<bool>,
     started: oneshot::Sender<Result<(), JournalError>>,
-    joined: Joined,
+    fleet: FleetMembership,
 }
 
-/// Runs until SIGTERM.
+/// Runs the shards and the server for clients until SIGTERM.
 pub(crate) async fn run(config: Config) -> Result<(), RunError> {
-    // Before anybody can see that it is ready: SIGHUP without a handler would end the process.
+    // Handlers are set before the process reports that it is ready: SIGHUP without a handler would end it.
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let shards = config.shards;
-    let joined = Joined::join(&config).await?;
-    let watcher = watcher(&config);
-    let Sockets { clients, idle } = Sockets::share(&config);
-    let journal_limit = (config.limits.disk_mb * JOURNAL_PART) as u64 / shards as u64;
-    let journal = yarrowhill_journal::Options { max_bytes: journal_limit, durability: config.durability };
-    let folders = yarrowhill_journal::prepare_segments(&config.state, shards, journal, unix_now_ms(), |d| {
-        shard_of(d, shards)
-    })?;
-    let (told, at) = watch::channel(config.discovery);
-    let (all_served, served) = watch::channel(false);
-    let pool = CapacityPool::new(config.settings.max_held_messages, shards);
-    let shares = Arc::new(QuotaShares::new(shards, config.settings.tenants.len()));
+    let fleet = FleetMembership::join(&config).await?;
+    let watch_config = watch_config(&config);
+    let DescriptorBudget { clients, idle } = DescriptorBudget::new(&config);
+    let max_journal_bytes = (config.limits.disk_mb * JOURNAL_BYTES_PER_DISK_MB) as u64 / shards as u64;
+    let journal_options =
+        yarrowhill_journal::Options { max_bytes: max_journal_bytes, durability: config.durability };
+    let folders = yarrowhill_journal::prepare_segments(
+        &config.state,
+        shards,
+        journal_options,
+        unix_now_ms(),
+        |dest| shard_of(dest, shards),
+    )?;
+    let (discovery_addr, discovery_updates) = watch::channel(config.discovery);
+    let (server_ended, server_ended_updates) = watch::channel(false);
+    let capacity = CapacityPool::new(config.settings.max_held_messages, shards);
+    let quota_shares = Arc::new(QuotaShares::new(shards, config.settings.tenants.len()));
     let (mut engines, mut phases, mut threads) = (Vec::new(), Vec::new(), JoinSet::new());
-    for (number, state) in folders.into_iter().enumerate() {
-        let (inputs, received) = mpsc::channel(INPUTS);
+    for (index, state_dir) in folders.into_iter().enumerate() {
+        let (inputs, received) = mpsc::channel(INPUT_CHANNEL_CAPACITY);
         let (phase, shard_phase) = watch::channel(Phase::Serving);
-        let (started, start) = oneshot::channel();
+        let (started, start_result) = oneshot::channel();
         engines.push(inputs.clone());
         phases.push(shard_phase);
-        let options = options(&config, number, state, journal_limit, &pool, &shares);
+        let options = shard_options(&config, index, state_dir, max_journal_bytes, &capacity, &quota_shares);
         let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
         let idle = (idle / shards).max(1);
-        let (discovery, served) = (at.clone(), served.clone());
-        let joined = joined.clone();
-        let shard =
-            Work { options, idle, idle_close, discovery, inputs, received, phase, served, started, joined };
-        let name = format!("shard-{number}");
-        let thread = thread::Builder::new().name(name).spawn(move || work(shard))?;
-        threads.spawn_blocking(move || (number, thread.join().is_ok()));
-        start.await.map_err(|_| RunError::ShardEnded(number))??;
+        let context = ShardContext {
+            options,
+            idle,
+            idle_close,
+            discovery: discovery_updates.clone(),
+            inputs,
+            received,
+            phase,
+            server_ended: server_ended_updates.clone(),
+            started,
+            fleet: fleet.clone(),
+        };
+        let name = format!("shard-{index}");
+        let thread = thread::Builder::new().name(name).spawn(move || run_shard(context))?;
+        threads.spawn_blocking(move || (index, thread.join().is_ok()));
+        start_result.await.map_err(|_| RunError::ShardEnded(index))??;
     }
-    joined.tell_senders(&engines);
+    fleet.forward_sender_count(&engines);
     let engines = EngineSenders::new(engines);
-    let (lists, listed) = mpsc::channel(INPUTS);
-    tokio::spawn(discovery::watch(at, watcher, lists));
-    tokio::spawn(distribute_lists(listed, engines.clone()));
-    tokio::spawn(reload(hangup, told, joined.clone()));
+    let (lists, received_lists) = mpsc::channel(INPUT_CHANNEL_CAPACITY);
+    tokio::spawn(discovery::watch(discovery_updates, watch_config, lists));
+    tokio::spawn(distribute_lists(received_lists, engines.clone()));
+    tokio::spawn(reload(hangup, discovery_addr, fleet.clone()));
     let listener = TcpListener::bind(config.listen).await?;
-    let (phase, closing) = watch::channel(Phase::Serving);
-    let bodies = config.limits.memory_mb.max(1) * 1024 / BODIES;
-    let intake = Intake::new(config.names, config.settings, engines.clone(), closing, bodies);
-    let intake = joined.guard_clients(intake);
-    let mut front = tokio::spawn(yarrowhill_http::serve(listener, clients, Arc::new(intake)));
+    let (phase, phase_updates) = watch::channel(Phase::Serving);
+    let body_memory_kib = config.limits.memory_mb.max(1) * 1024 / BODY_MEMORY_DIVISOR;
+    let intake = Intake::new(config.names, config.settings, engines.clone(), phase_updates, body_memory_kib);
+    let intake = fleet.guard_clients(intake);
+    let mut server = tokio::spawn(yarrowhill_http::serve(listener, clients, Arc::new(intake)));
     for shard in &phases {
-        tokio::spawn(least(shard.clone(), phases.clone(), phase.clone()));
+        tokio::spawn(publish_earliest_phase(shard.clone(), phases.clone(), phase.clone()));
     }
-    let mut ends = false;
+    let mut is_shutting_down = false;
     loop {
         tokio::select! {
-            _ = terminate.recv(), if !ends => {
-                ends = true;
-                joined.leave();
+            _ = terminate.recv(), if !is_shutting_down => {
+                is_shutting_down = true;
+                fleet.leave();
                 for engine in engines.all() {
-                    // An engine is gone only when the process ends.
+                    // The channel is closed only when the process ends.
                     let _ = engine.send(Input::Shutdown).await;
                 }
             }
-            _ = &mut front, if !*all_served.borrow() => drop(all_served.send_replace(true)),
+            _ = &mut server, if !*server_ended.borrow() => drop(server_ended.send_replace(true)),
             ended = threads.join_next() => match ended {
                 None => break,
-                Some(Ok((_, true))) if ends => {}
-                Some(Ok((number, _))) => return Err(RunError::ShardEnded(number)),
+                Some(Ok((_, true))) if is_shutting_down => {}
+                Some(Ok((index, _))) => return Err(RunError::ShardEnded(index)),
                 Some(Err(_)) => return Err(RunError::ShardEnded(shards)),
             },
         }
     }
-    front.abort();
+    server.abort();
     Ok(())
 }
 
-fn options(
+fn shard_options(
     config: &Config,
-    number: usize,
-    state: PathBuf,
-    journal_limit: u64,
-    pool: &Arc<CapacityPool>,
-    shares: &Arc<QuotaShares>,
+    index: usize,
+    state_dir: PathBuf,
+    max_journal_bytes: u64,
+    capacity: &Arc<CapacityPool>,
+    quota_shares: &Arc<QuotaShares>,
 ) -> Options {
     Options {
-        settings: shard_settings(&config.settings, number, config.shards),
+        settings: shard_settings(&config.settings, index, config.shards),
         names: config.names.clone(),
-        seed: config.seed.wrapping_add(number as u64),
-        state_dir: state,
-        max_journal_bytes: journal_limit,
+        seed: config.seed.wrapping_add(index as u64),
+        state_dir,
+        max_journal_bytes,
         durability: config.durability,
-        initial_list: shard_list(&config.known, number, config.shards),
-        shard: Some(Shard { index: number, capacity: pool.clone(), quota_shares: shares.clone() }),
+        initial_list: shard_list(&config.known, index, config.shards),
+        shard: Some(Shard { index, capacity: capacity.clone(), quota_shares: quota_shares.clone() }),
     }
 }
 
-/// One shard, from its start to its end.
-fn work(shard: Work) {
-    let Work { options, idle, idle_close, discovery, inputs, received, phase, mut served, started, joined } =
-        shard;
+/// Runs one shard on the current thread, until it has shut down.
+fn run_shard(context: ShardContext) {
+    let ShardContext {
+        options,
+        idle,
+        idle_close,
+        discovery,
+        inputs,
+        received,
+        phase,
+        mut server_ended,
+        started,
+        fleet,
+    } = context;
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => return drop(started.send(Err(e.into()))),
     };
     runtime.block_on(async move {
         let (notices, batches) = mpsc::channel(1);
-        let pool = joined.guard_calls(Pool::new(idle, idle_close));
+        let pool = fleet.guard_calls(Pool::new(idle, idle_close));
         let engine = match Engine::start(options, pool, notices, inputs.clone()) {
             Ok(engine) => engine,
             Err(e) => return drop(started.send(Err(e))),
         };
         tokio::spawn(notices::send_all(discovery, batches, inputs));
-        // Whoever started this waits for it.
+        // `run` waits for this result.
         let _ = started.send(Ok(()));
-        let front = tokio::spawn(async move {
-            let _ = served.wait_for(|served| *served).await;
+        let server = tokio::spawn(async move {
+            let _ = server_ended.wait_for(|ended| *ended).await;
         });
-        yarrowhill_engine::run(engine, received, phase, front).await;
+        yarrowhill_engine::run(engine, received, phase, server).await;
     });
 }
 
-/// Clients see the phase of the shard that is least far on its way to the end.
-async fn least(
-    mut one: watch::Receiver<Phase>,
+/// Publishes the earliest phase of all shards to the server at each change of one shard's phase: clients are
+/// served until the last shard has shut down.
+async fn publish_earliest_phase(
+    mut shard: watch::Receiver<Phase>,
     all: Vec<watch::Receiver<Phase>>,
-    front: watch::Sender<Phase>,
+    server: watch::Sender<Phase>,
 ) {
-    while one.changed().await.is_ok() {
-        let least = all.iter().map(|phase| *phase.borrow()).min().unwrap_or(Phase::Closed);
-        front.send_if_modified(|phase| std::mem::replace(phase, least) != least);
+    while shard.changed().await.is_ok() {
+        let earliest = all.iter().map(|phase| *phase.borrow()).min().unwrap_or(Phase::Closed);
+        server.send_if_modified(|phase| std::mem::replace(phase, earliest) != earliest);
     }
 }
