--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Runs until SIGTERM.
+/// Runs the forwarder until SIGTERM.
 ///
 /// # Errors
 ///
--- a/crates/yarrowhill/src/demo.rs
+++ b/crates/yarrowhill/src/demo.rs
@@ -163,7 +163,7 @@
     let entries = ledger.entries();
     process.signal("TERM").await?;
     process.wait_exit(Duration::from_secs(5)).await?;
-    // A failure to remove the temporary folder is harmless.
+    // The temporary folder is of no further use; a failure to remove it is harmless.
     let _ = std::fs::remove_dir_all(&folder);
     print_summary(&entries)
 }
--- a/crates/yarrowhill/tests/installations.rs
+++ b/crates/yarrowhill/tests/installations.rs
@@ -1,4 +1,5 @@
-//! The real program on configurations of other installations: what their settings leave out, and what they have more of.
+//! Tests of the real program with configurations of other installations, which leave out some settings and
+//! have more of others.
 
 mod support;
 
@@ -7,8 +8,8 @@
 use std::time::{Duration, Instant};
 use support::{Discovery, Forwarder, Stub, request, target};
 
-/// No limits, no reports, no owners and no weights are told; a repeat is dropped for a second.
-fn bare(c: &mut Value) {
+/// Settings without limits, reports, tenants and weights; idempotency keys are kept for one second.
+fn minimal_settings(c: &mut Value) {
     c["settings"] = json!({
         "classes": [
             {"name": "drop-notice", "idempotency": "token", "dedupScope": "zone", "keyTtl": 1000.0,
@@ -20,12 +21,12 @@
     });
 }
 
-/// Twelve owners, with names as people write them, short deadlines and few attempts.
-fn many_owners(c: &mut Value) {
-    let owners: Vec<Value> =
+/// Twelve tenants whose names have spaces and punctuation, short deadlines and few attempts.
+fn many_tenants(c: &mut Value) {
+    let tenants: Vec<Value> =
         (0..12).map(|n| json!({"name": format!("Owner {n}, Ltd"), "quotaRps": 5.0 + f64::from(n)})).collect();
     let settings = &mut c["settings"];
-    settings["realms"] = json!(owners);
+    settings["realms"] = json!(tenants);
     settings["limits"]["maxAttempts"] = json!(3);
     settings["guarantees"]["stopSendingWithin"] = json!(250.0);
     settings["classes"] = json!([
@@ -42,86 +43,89 @@
     (discovery, stub, forwarder)
 }
 
-async fn hand_in(f: &Forwarder, class: &str, id: &str, owner: &str) -> u16 {
+async fn submit(forwarder: &Forwarder, class: &str, id: &str, tenant: &str) -> u16 {
     let key = format!("key-{id}");
     let headers = [
         ("Req-Id", id),
-        ("Req-Owner", owner),
+        ("Req-Owner", tenant),
         ("Req-Deadline-Ms", "3000"),
         ("Idempotency-Key", &key),
         ("Envelope", "dest=7"),
     ];
     let path = format!("/{class}");
-    request(f.addr, "POST", &path, &headers, b"x").await.expect("an answer").status().as_u16()
+    request(forwarder.addr, "POST", &path, &headers, b"x").await.expect("an answer").status().as_u16()
 }
 
-/// Without a bound on calls in the settings there was room for one client alone, and without one on connections each
-/// had a millisecond to come up.
+/// Guards against two faults: without a limit on calls in the settings only one client was served, and
+/// without a connect timeout each connection had one millisecond to be established.
 #[tokio::test]
 async fn settings_without_limits_serve_many_clients_at_once() {
-    let (_discovery, mut stub, f) = installation(bare).await;
-    let resting: Vec<_> = (0..5).map(|_| std::net::TcpStream::connect(f.addr).expect("it listens")).collect();
+    let (_discovery, mut stub, forwarder) = installation(minimal_settings).await;
+    let idle: Vec<_> = (0..5)
+        .map(|_| std::net::TcpStream::connect(forwarder.addr).expect("the forwarder listens"))
+        .collect();
     for (n, class) in ["drop-notice", "hand-over", "position"].iter().cycle().take(9).enumerate() {
-        assert_eq!(hand_in(&f, class, &format!("m{n}"), "anybody").await, 202, "{class}");
+        assert_eq!(submit(&forwarder, class, &format!("m{n}"), "anybody").await, 202, "{class}");
         stub.next().await.answer(200);
     }
-    drop(resting);
+    drop(idle);
 }
 
-/// A key that is remembered for a second is not used again after it, whatever became of the call.
+/// A key that the destination keeps for one second is not used again after it, whatever the outcome of the
+/// call.
 #[tokio::test]
-async fn a_window_of_a_second_is_kept() {
-    let (mut discovery, mut stub, f) = installation(bare).await;
-    assert_eq!(hand_in(&f, "drop-notice", "m", "").await, 202);
+async fn does_not_reuse_a_key_after_its_ttl_of_a_second() {
+    let (mut discovery, mut stub, forwarder) = installation(minimal_settings).await;
+    assert_eq!(submit(&forwarder, "drop-notice", "m", "").await, 202);
     let call = stub.next().await;
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(960)).await;
-    call.hang_up();
+    call.close_connection();
     assert_eq!(discovery.notice().await["outcome"], "given_up");
-    assert!(stub.is_quiet(Duration::from_millis(300)).await, "sent again after {:?}", sent.elapsed());
+    assert!(stub.stays_quiet(Duration::from_millis(300)).await, "sent again after {:?}", sent_at.elapsed());
 }
 
 #[tokio::test]
-async fn owners_and_classes_with_spaces_in_their_names_are_known() {
-    let (_discovery, mut stub, f) = installation(many_owners).await;
+async fn accepts_tenants_and_classes_whose_names_have_spaces() {
+    let (_discovery, mut stub, forwarder) = installation(many_tenants).await;
     for n in 0..12 {
         let class = if n % 2 == 0 { "fare%20note" } else { "gate-order" };
-        assert_eq!(hand_in(&f, class, &format!("m{n}"), &format!("Owner {n}, Ltd")).await, 202, "{n}");
+        assert_eq!(submit(&forwarder, class, &format!("m{n}"), &format!("Owner {n}, Ltd")).await, 202, "{n}");
         stub.next().await.answer(200);
     }
-    assert_eq!(hand_in(&f, "gate-order", "x", "Owner 12, Ltd").await, 400);
+    assert_eq!(submit(&forwarder, "gate-order", "x", "Owner 12, Ltd").await, 400);
 }
 
 #[tokio::test]
-async fn a_short_deadline_ends_in_time() {
-    let (mut discovery, mut stub, f) = installation(many_owners).await;
-    assert_eq!(hand_in(&f, "gate-order", "m", "Owner 1, Ltd").await, 202);
-    let taken = Instant::now();
-    let _silent = stub.next().await;
+async fn a_message_with_a_short_deadline_ends_in_time() {
+    let (mut discovery, mut stub, forwarder) = installation(many_tenants).await;
+    assert_eq!(submit(&forwarder, "gate-order", "m", "Owner 1, Ltd").await, 202);
+    let accepted_at = Instant::now();
+    let _unanswered = stub.next().await;
     assert_eq!(discovery.notice().await, json!({"message": "m", "outcome": "given_up"}));
-    assert!(taken.elapsed() < Duration::from_millis(3300), "{:?}", taken.elapsed());
+    assert!(accepted_at.elapsed() < Duration::from_millis(3300), "{:?}", accepted_at.elapsed());
 }
 
-/// Where discovery has to be asked, it is: also by one of many.
+/// A discovery that does not push is polled, also by a forwarder that is one of several.
 #[tokio::test]
-async fn a_discovery_that_answers_when_asked_is_asked() {
-    let (discovery, stub, f) = installation(|c| c["settings"]["discovery"] = json!("ask")).await;
+async fn polls_a_discovery_that_does_not_push() {
+    let (discovery, stub, forwarder) = installation(|c| c["settings"]["discovery"] = json!("ask")).await;
     let mut other = Stub::start().await;
-    discovery.push_whole(2, vec![target("u", other.addr, 7, "plain", "in_service")]);
-    let told = Instant::now();
+    discovery.push_full_list(2, vec![target("u", other.addr, 7, "plain", "in_service")]);
+    let pushed_at = Instant::now();
     for n in 0.. {
-        assert_eq!(hand_in(&f, "keyed", &format!("m{n}"), "acme").await, 202);
+        assert_eq!(submit(&forwarder, "keyed", &format!("m{n}"), "acme").await, 202);
         if other.next_within(Duration::from_millis(100)).await.map(|call| call.answer(200)).is_some() {
             break;
         }
     }
-    assert!(told.elapsed() < Duration::from_secs(6), "{:?}", told.elapsed());
+    assert!(pushed_at.elapsed() < Duration::from_secs(6), "{:?}", pushed_at.elapsed());
     drop(stub);
 }
 
-/// A value that can't be read is refused at the start, with its path and what was expected there.
+/// An invalid value is refused at the start, with its path and the expected values.
 #[test]
-fn an_unreadable_setting_is_refused_with_its_path() {
+fn refuses_an_invalid_setting_with_its_path() {
     let faults = [
         ("/classes/0/deadline", json!("soon"), ["classes.0.deadline", "a number"]),
         ("/classes/1/idempotency", json!("maybe"), ["classes.1.idempotency", "side_effect"]),
@@ -138,7 +142,7 @@
         for key in ["weights", "discovery"] {
             settings[key] = json!(if key == "weights" { "rough" } else { "push" });
         }
-        *settings.pointer_mut(path).expect("it is there") = value;
+        *settings.pointer_mut(path).expect("the setting exists") = value;
         let file =
             std::env::temp_dir().join(format!("yarrowhill-fault-{}-{number}.json", std::process::id()));
         std::fs::write(&file, config.to_string()).expect("a temporary file");
@@ -148,8 +152,8 @@
             .output()
             .expect("the program starts");
         let _ = std::fs::remove_file(&file);
-        let told = String::from_utf8_lossy(&output.stderr);
+        let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{path}: accepted");
-        assert!(expected.iter().all(|word| told.contains(word)), "{path}: {told}");
+        assert!(expected.iter().all(|part| error.contains(part)), "{path}: {error}");
     }
 }
--- a/crates/yarrowhill/tests/ramp.rs
+++ b/crates/yarrowhill/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! Twenty processes and a destination that comes back cold: what they send together, judged at the destination alone.
+//! Twenty forwarders and a destination that recovers cold: their total traffic, measured at the destination.
 
 mod support;
 
@@ -7,55 +7,63 @@
 use support::{Discovery, Forwarder, Stub, request, target};
 use tokio::time::interval;
 
-const PROCESSES: usize = 20;
-/// Calls a second that the destination takes from all together, as the list tells.
+const FORWARDERS: usize = 20;
+/// Limit of the destination for all forwarders together, as in the list (calls per second).
 const LIMIT: f64 = 20.0;
-/// Sent more than this multiple of what it can do, over so long, it falls; it begins with this part of all it can do,
-/// and has all of it after so long.
-const MULTIPLE: f64 = 2.0;
-const OVER: Duration = Duration::from_secs(3);
-const START: f64 = 0.17;
-const WARM: f64 = 13.0;
-/// How long it serves, is down, and is watched after its return.
-const SERVES: Duration = Duration::from_secs(4);
-const DOWN: Duration = Duration::from_secs(4);
-const WATCHED: Duration = Duration::from_secs(7);
+/// Multiple of its capacity at which the destination fails, if it receives more than that over the window.
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Window of the overload.
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
+/// Fraction of its capacity that the destination has at its recovery.
+const INITIAL_FRACTION: f64 = 0.17;
+/// Time from its recovery to its full capacity (s).
+const WARM_UP_SECS: f64 = 13.0;
+/// Time during which it serves calls before the outage.
+const BEFORE_OUTAGE: Duration = Duration::from_secs(4);
+/// Length of the outage.
+const OUTAGE: Duration = Duration::from_secs(4);
+/// Time during which the calls after its recovery are recorded.
+const AFTER_RECOVERY: Duration = Duration::from_secs(7);
 
-/// The most calls beyond the budget, and what is put down to chance, in any span after the return.
-fn excess(returned: Instant, calls: &[Instant]) -> f64 {
-    let spans = calls.iter().enumerate().map(|(n, from)| {
-        let came = calls[n..].iter().take_while(|at| **at - *from < OVER).count() as f64;
-        let warm = ((*from - returned + OVER / 2).as_secs_f64() / WARM).min(1.0);
-        let budget = MULTIPLE * LIMIT * (START + (1.0 - START) * warm) * OVER.as_secs_f64();
-        came - (budget + 2.0 * budget.sqrt() + 2.0)
+/// Returns the maximum number of calls above the budget and an allowance for chance, over all windows after
+/// the recovery.
+fn max_excess(recovered_at: Instant, calls: &[Instant]) -> f64 {
+    let excesses = calls.iter().enumerate().map(|(n, from)| {
+        let count = calls[n..].iter().take_while(|at| **at - *from < OVERLOAD_WINDOW).count() as f64;
+        let progress = ((*from - recovered_at + OVERLOAD_WINDOW / 2).as_secs_f64() / WARM_UP_SECS).min(1.0);
+        let fraction = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * progress;
+        let budget = OVERLOAD_MULTIPLE * LIMIT * fraction * OVERLOAD_WINDOW.as_secs_f64();
+        count - (budget + 2.0 * budget.sqrt() + 2.0)
     });
-    spans.fold(f64::NEG_INFINITY, f64::max)
+    excesses.fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Plays it with processes that are told so many of them; gives the excess, and the calls after the return.
-async fn played(told: usize) -> (f64, usize) {
+/// Runs the outage with forwarders whose configured number of peers is `peers_total`. Returns the maximum
+/// excess and the number of calls after the recovery.
+async fn run_outage(peers_total: usize) -> (f64, usize) {
     let mut stub = Stub::start().await;
     let mut known = target("t", stub.addr, 7, "plain", "in_service");
     known["capacity_hint"] = json!(LIMIT);
     let (mut fleet, mut agents) = (Vec::new(), Vec::new());
-    for _ in 0..PROCESSES {
-        // Each has an agent of its own machine.
+    for _ in 0..FORWARDERS {
+        // Each forwarder has a discovery agent on its own machine.
         let discovery = Discovery::start().await;
-        let settings = |c: &mut Value| c["settings"]["peersTotal"] = json!(told);
+        let settings = |c: &mut Value| c["settings"]["peersTotal"] = json!(peers_total);
         fleet.push(Forwarder::start(&discovery, std::slice::from_ref(&known), settings).await);
         agents.push(discovery);
     }
-    // Uneven loads: the first has a third of the traffic, the rest have less and less.
+    // The load is uneven: the first forwarder has a third of the traffic, each further one less than the one
+    // before.
     let clients: Vec<_> = fleet
         .iter()
         .enumerate()
         .map(|(n, forwarder)| {
             let rate = if n == 0 { 6.0 } else { 1.1 - 0.05 * n as f64 };
-            let at = forwarder.addr;
+            let addr = forwarder.addr;
             tokio::spawn(async move {
-                let mut due = interval(Duration::from_secs_f64(1.0 / rate));
+                let mut timer = interval(Duration::from_secs_f64(1.0 / rate));
                 for id in 0.. {
-                    due.tick().await;
+                    timer.tick().await;
                     let (id, key) = (format!("{n}-{id}"), format!("key-{n}-{id}"));
                     tokio::spawn(async move {
                         let headers = [
@@ -65,42 +73,43 @@
                             ("Idempotency-Key", &key),
                             ("Envelope", "dest=7"),
                         ];
-                        request(at, "POST", "/keyed", &headers, b"x").await
+                        request(addr, "POST", "/keyed", &headers, b"x").await
                     });
                 }
             })
         })
         .collect();
-    let begun = Instant::now();
-    let (fails, returns, ends) = (begun + SERVES, begun + SERVES + DOWN, begun + SERVES + DOWN + WATCHED);
+    let fails_at = Instant::now() + BEFORE_OUTAGE;
+    let recovers_at = fails_at + OUTAGE;
+    let end = recovers_at + AFTER_RECOVERY;
     let mut calls = Vec::new();
-    while Instant::now() < ends {
-        let Some(call) = stub.next_within(ends - Instant::now()).await else { break };
+    while Instant::now() < end {
+        let Some(call) = stub.next_within(end - Instant::now()).await else { break };
         let at = Instant::now();
-        if at < fails || at >= returns {
+        if at < fails_at || at >= recovers_at {
             call.answer(200);
         } else {
             call.answer(500);
         }
-        if at >= returns {
+        if at >= recovers_at {
             calls.push(at);
         }
     }
     clients.iter().for_each(|client| client.abort());
     drop((fleet, agents));
-    (excess(returns, &calls), calls.len())
+    (max_excess(recovers_at, &calls), calls.len())
 }
 
 #[tokio::test]
-async fn twenty_processes_keep_to_the_budget_of_a_cold_destination() {
-    let (excess, calls) = played(PROCESSES).await;
-    // It is used again, and not pushed over.
-    assert!(calls > 10 && excess <= 0.0, "{excess:.1} over, {calls} calls");
+async fn twenty_forwarders_stay_within_the_budget_of_a_recovering_destination() {
+    let (excess, calls) = run_outage(FORWARDERS).await;
+    // The destination gets calls again, but not so many that it fails.
+    assert!(calls > 10 && excess <= 0.0, "excess {excess:.1}, {calls} calls");
 }
 
-/// The same where each takes the whole budget for its own: the judge sees it.
+/// Checks the measurement: if each forwarder assumes that it is the only one, the excess is detected.
 #[tokio::test]
-async fn twenty_processes_that_each_take_the_whole_budget_are_seen() {
-    let (excess, calls) = played(1).await;
-    assert!(excess > 0.0, "{excess:.1} over, {calls} calls");
+async fn detects_twenty_forwarders_that_each_use_the_full_budget() {
+    let (excess, calls) = run_outage(1).await;
+    assert!(excess > 0.0, "excess {excess:.1}, {calls} calls");
 }
--- a/crates/yarrowhill/tests/rare.rs
+++ b/crates/yarrowhill/tests/rare.rs
@@ -1,89 +1,93 @@
-//! Rare faults: restarts with requests in flight, silent lists, and what falls between two steps of the real program,
-//! over loopback sockets. Each order of events is made to happen: stand-ins hold bytes back and let go on command, the
-//! kernel lines events up while the program is stopped.
+//! Rare faults of the real program, over loopback sockets: restarts with requests in flight, a silent
+//! discovery, and events between two steps of the program. Each order of events is forced: stand-ins withhold
+//! bytes until the test releases them, and the kernel queues events while the program is stopped.
 
 mod support;
 
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
-use support::{Discovery, Forwarder, Jammed, Raw, RawCall, SOON, Stub, target};
+use support::{Discovery, Forwarder, FullBacklog, RawConnection, RawServer, Stub, TIMEOUT, target};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
 const QUIET: Duration = Duration::from_millis(150);
 
-/// Grace after a drain was told, and the time that a connection has to come up: longer than the grace.
-fn short_grace(c: &mut Value) {
+/// Sets a short grace period after a drain is announced, and a connect timeout that is longer than it.
+fn short_grace_period(c: &mut Value) {
     c["settings"]["guarantees"]["stopSendingWithin"] = json!(250.0);
     c["settings"]["limits"]["connectTimeout"] = json!(9000.0);
 }
 
 // ---- Drains ----
 
-/// A call is decided, its connection takes its time, and meanwhile the drain is told. Its first byte would leave long
-/// after the grace.
+/// A call waits for its connection while the drain of its target is announced. Its first byte would be sent
+/// long after the grace period.
 #[tokio::test]
-async fn a_call_whose_connection_comes_up_after_a_drain_is_not_written() {
-    let (discovery, mut jammed, mut next) =
-        (Discovery::start().await, Jammed::start().await, Stub::start().await);
-    let known = [target("t", jammed.addr, 7, "plain", "in_service")];
-    let f = Forwarder::start(&discovery, &known, short_grace).await;
-    assert_eq!(f.hand_in("keyed", "m", 20_000).await.status(), 202);
+async fn does_not_write_a_call_whose_connection_is_established_after_a_drain() {
+    let (discovery, mut full, mut next) =
+        (Discovery::start().await, FullBacklog::start().await, Stub::start().await);
+    let known = [target("t", full.addr, 7, "plain", "in_service")];
+    let forwarder = Forwarder::start(&discovery, &known, short_grace_period).await;
+    assert_eq!(forwarder.submit("keyed", "m", 20_000).await.status(), 202);
     sleep(QUIET).await;
     discovery.push(
         2,
         vec![
-            target("t", jammed.addr, 7, "plain", "terminating"),
+            target("t", full.addr, 7, "plain", "terminating"),
             target("u", next.addr, 7, "plain", "in_service"),
         ],
     );
-    // It goes elsewhere as soon as the drain is told.
-    let call = next.next_within(Duration::from_secs(2)).await.expect("the message is free at once");
+    // The message goes to the other target as soon as the drain is announced.
+    let call = next
+        .next_within(Duration::from_secs(2))
+        .await
+        .expect("the message is sent to the other target at once");
     assert_eq!(call.header("req-id"), "m");
     call.answer(200);
-    jammed.let_in(Duration::from_secs(4)).await;
-    assert_eq!(jammed.read(), 0, "it was written");
+    full.accept_for(Duration::from_secs(4)).await;
+    assert_eq!(full.received_bytes(), 0, "the call was written");
 }
 
-/// The program is stopped while a connection comes up; the drain is told meanwhile. It wakes with both before it.
+/// The program is stopped (SIGSTOP) while a connection is established and the drain of its target is
+/// announced. When it resumes, both events are pending.
 #[tokio::test]
-async fn a_call_decided_before_a_stop_is_not_written_after_it() {
-    let (discovery, mut jammed, mut next) =
-        (Discovery::start().await, Jammed::start().await, Stub::start().await);
-    let known = [target("t", jammed.addr, 7, "plain", "in_service")];
-    let f = Forwarder::start(&discovery, &known, short_grace).await;
-    assert_eq!(f.hand_in("keyed", "m", 20_000).await.status(), 202);
+async fn does_not_write_a_call_to_a_target_that_drained_while_the_process_was_stopped() {
+    let (discovery, mut full, mut next) =
+        (Discovery::start().await, FullBacklog::start().await, Stub::start().await);
+    let known = [target("t", full.addr, 7, "plain", "in_service")];
+    let forwarder = Forwarder::start(&discovery, &known, short_grace_period).await;
+    assert_eq!(forwarder.submit("keyed", "m", 20_000).await.status(), 202);
     sleep(QUIET).await;
-    f.stop().await;
+    forwarder.pause().await;
     discovery.push(
         2,
         vec![
-            target("t", jammed.addr, 7, "plain", "terminating"),
+            target("t", full.addr, 7, "plain", "terminating"),
             target("u", next.addr, 7, "plain", "in_service"),
         ],
     );
-    // The system brings the connection up for the stopped program.
-    jammed.let_in(Duration::from_secs(2)).await;
-    f.go_on();
+    // The system establishes the connection for the stopped program.
+    full.accept_for(Duration::from_secs(2)).await;
+    forwarder.resume();
     let call = next.next().await;
     assert_eq!(call.header("req-id"), "m");
     call.answer(200);
-    jammed.let_in(Duration::from_secs(1)).await;
-    assert_eq!(jammed.read(), 0, "it was written");
+    full.accept_for(Duration::from_secs(1)).await;
+    assert_eq!(full.received_bytes(), 0, "the call was written");
 }
 
-/// A new process knows an old list, and the agent has had another for long.
+/// A new process starts with an old list, and the discovery agent has had a newer one for some time.
 #[tokio::test]
-async fn a_new_process_sends_nothing_before_it_has_heard_what_the_agent_has() {
+async fn sends_nothing_after_a_restart_before_the_agent_has_returned_its_list() {
     let (discovery, mut old, mut new) = (Discovery::start().await, Stub::start().await, Stub::start().await);
     let known = [target("t", old.addr, 7, "plain", "in_service")];
-    let mut f = Forwarder::start(&discovery, &known, |_| {}).await;
-    assert_eq!(f.hand_in("keyed", "a", 20_000).await.status(), 202);
+    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    assert_eq!(forwarder.submit("keyed", "a", 20_000).await.status(), 202);
     let call = old.next().await;
     call.answer_with(429, &[("Wait-Ms", "9000")], "");
-    // Taken on and not tried.
-    assert_eq!(f.hand_in("keyed", "b", 20_000).await.status(), 202);
-    f.kill();
+    // Accepted and not sent.
+    assert_eq!(forwarder.submit("keyed", "b", 20_000).await.status(), 202);
+    forwarder.kill();
     discovery.push(
         5,
         vec![
@@ -91,35 +95,37 @@
             target("u", new.addr, 7, "plain", "in_service"),
         ],
     );
-    f.restart().await;
+    forwarder.restart().await;
     for _ in 0..2 {
         new.next().await.answer(200);
     }
-    assert!(old.is_quiet(QUIET).await, "a target that drains was called");
+    assert!(old.stays_quiet(QUIET).await, "a draining target was called");
 }
 
-/// Discovery says nothing at all: what is known has to do, and soon.
+/// Discovery does not answer: the list of the configuration has to be used after a short time.
 #[tokio::test]
-async fn a_new_process_does_not_wait_for_a_silent_agent() {
-    let (silent, mut stub) = (Raw::start().await, Stub::start().await);
+async fn does_not_wait_for_a_silent_agent_after_a_start() {
+    let (silent, mut stub) = (RawServer::start().await, Stub::start().await);
     let discovery = Discovery::start().await;
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let at = silent.addr;
+    let silent_addr = silent.addr;
     let start = Instant::now();
-    let f = Forwarder::start(&discovery, &known, |c| c["discovery"] = json!(at.to_string())).await;
+    let forwarder =
+        Forwarder::start(&discovery, &known, |c| c["discovery"] = json!(silent_addr.to_string())).await;
     assert!(start.elapsed() < Duration::from_secs(5), "ready after {:?}", start.elapsed());
-    assert_eq!(f.hand_in("keyed", "m", 9000).await.status(), 202);
-    let call = stub.next_within(Duration::from_secs(3)).await.expect("it is sent by what is known");
+    assert_eq!(forwarder.submit("keyed", "m", 9000).await.status(), 202);
+    let call =
+        stub.next_within(Duration::from_secs(3)).await.expect("the message is sent by the configured list");
     call.answer(200);
 }
 
-/// Discovery has moved, and the new one has fallen behind: it still lists as in service what has drained.
+/// Discovery has moved, and the new one lags behind: it still lists a drained target as in service.
 #[tokio::test]
-async fn an_older_list_brings_nobody_back_who_has_drained() {
+async fn an_older_list_does_not_bring_back_a_drained_target() {
     let (discovery, mut drained, mut other) =
         (Discovery::start().await, Stub::start().await, Stub::start().await);
     let known = [target("t", drained.addr, 7, "plain", "in_service")];
-    let f = Forwarder::start(&discovery, &known, |_| {}).await;
+    let forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
     discovery.push(
         9,
         vec![
@@ -128,23 +134,23 @@
         ],
     );
     for n in 0.. {
-        f.hand_in("keyed", &format!("probe-{n}"), 9000).await;
+        forwarder.submit("keyed", &format!("probe-{n}"), 9000).await;
         tokio::select! {
             call = other.next() => { call.answer(200); break }
             call = drained.next() => call.answer(200),
         }
     }
-    // An older version, whole: "t" is in service there, and "u" is not known yet.
+    // An older version as a full list: "t" is in service in it, and "u" is not in it yet.
     let second = Discovery::start().await;
-    second.push_whole(
+    second.push_full_list(
         4,
         vec![
             target("t", drained.addr, 7, "plain", "in_service"),
             target("v", other.addr, 8, "plain", "in_service"),
         ],
     );
-    f.reload(|c| c["discovery"] = json!(second.addr.to_string()));
-    // It has been heard once its other line holds.
+    forwarder.reload(|c| c["discovery"] = json!(second.addr.to_string()));
+    // The list has been applied once its other entry is in force.
     let dest_8 = [
         ("Req-Id", "x"),
         ("Req-Owner", "acme"),
@@ -152,17 +158,19 @@
         ("Idempotency-Key", "k"),
         ("Envelope", "dest=8"),
     ];
-    let heard = async {
-        while support::request(f.addr, "POST", "/keyed", &dest_8, b"").await.is_none_or(|r| r.status() != 202)
+    let applied = async {
+        while support::request(forwarder.addr, "POST", "/keyed", &dest_8, b"")
+            .await
+            .is_none_or(|r| r.status() != 202)
         {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SOON, heard).await.expect("the new list is heard");
+    timeout(TIMEOUT, applied).await.expect("the new list is applied in time");
     other.next().await.answer(200);
-    f.hand_in("keyed", "after", 9000).await;
-    assert!(drained.is_quiet(QUIET * 2).await, "one that drains was called by an older word");
-    // A version that is not older brings it back.
+    forwarder.submit("keyed", "after", 9000).await;
+    assert!(drained.stays_quiet(QUIET * 2).await, "a draining target was called because of an older list");
+    // A version that is not older brings the target back.
     second.push(9, vec![target("t", drained.addr, 7, "plain", "in_service")]);
     let call = drained.next().await;
     assert_eq!(call.header("req-id"), "after");
@@ -171,109 +179,111 @@
 
 // ---- Restarts ----
 
-/// The list that the new process begins with does not know the destination of a message that was taken on and never
-/// tried: the message waits for one that does.
+/// The first list of the new process lacks the destination of a message that was accepted and never sent: the
+/// message waits for a list that has it.
 #[tokio::test]
-async fn a_message_found_untried_waits_for_its_destination_to_be_listed() {
+async fn a_recovered_unsent_message_waits_until_its_destination_is_listed() {
     let (mut discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let mut f = Forwarder::start(&discovery, &known, |_| {}).await;
-    assert_eq!(f.hand_in("keyed", "a", 600).await.status(), 202);
+    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    assert_eq!(forwarder.submit("keyed", "a", 600).await.status(), 202);
     stub.next().await.answer_with(429, &[("Wait-Ms", "9000")], "");
-    assert_eq!(f.hand_in("unsafe", "untried", 20_000).await.status(), 202);
-    // Only the other one is left.
+    assert_eq!(forwarder.submit("unsafe", "untried", 20_000).await.status(), 202);
+    // Only the unsent message is still open.
     assert_eq!(discovery.notice().await["message"], "a");
-    until_settled(&f).await;
-    f.kill();
-    f.configure(|c| c["known"]["targets"] = json!([]));
-    f.restart().await;
-    assert!(discovery.is_quiet(QUIET).await, "it was given up with no call");
-    discovery.push_whole(3, vec![target("t", stub.addr, 7, "plain", "in_service")]);
+    wait_until_settled(&forwarder).await;
+    forwarder.kill();
+    forwarder.edit_config(|c| c["known"]["targets"] = json!([]));
+    forwarder.restart().await;
+    assert!(discovery.stays_quiet(QUIET).await, "the message was given up without a call");
+    discovery.push_full_list(3, vec![target("t", stub.addr, 7, "plain", "in_service")]);
     let call = stub.next().await;
     assert_eq!(call.header("req-id"), "untried");
     call.answer(200);
 }
 
-/// The end of the message before this one is on record: the same id is answered by it.
-async fn until_settled(f: &Forwarder) {
+/// Waits until the outcome of message "a" is in the journal: then it answers a repeated submission.
+async fn wait_until_settled(forwarder: &Forwarder) {
     let settled = async {
-        while f.hand_in("keyed", "a", 600).await.status() == 202 {
+        while forwarder.submit("keyed", "a", 600).await.status() == 202 {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SOON, settled).await.expect("it ends");
+    timeout(TIMEOUT, settled).await.expect("the message ends in time");
 }
 
-/// A call was out when the process died, and the destination remembers its key for a second only.
+/// A call was in flight when the process was killed, and the destination keeps its key for one second only.
 #[tokio::test]
-async fn a_keyed_message_is_not_repeated_beyond_a_window_of_a_second() {
+async fn does_not_repeat_a_keyed_message_after_its_key_ttl_of_a_second() {
     let (mut discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let mut f =
+    let mut forwarder =
         Forwarder::start(&discovery, &known, |c| c["settings"]["classes"][0]["keyTtl"] = json!(1000.0)).await;
-    assert_eq!(f.hand_in("keyed", "m", 20_000).await.status(), 202);
+    assert_eq!(forwarder.submit("keyed", "m", 20_000).await.status(), 202);
     let call = stub.next().await;
-    f.kill();
-    call.closed().await;
+    forwarder.kill();
+    call.wait_closed().await;
     sleep(Duration::from_millis(1000)).await;
-    f.restart().await;
+    forwarder.restart().await;
     assert_eq!(discovery.notice().await, json!({"message": "m", "outcome": "given_up"}));
-    assert!(stub.is_quiet(QUIET).await);
+    assert!(stub.stays_quiet(QUIET).await);
 }
 
-/// A second SIGTERM, and SIGHUP after the first, change nothing: the end comes in time, and what is owed is on disk.
+/// A second SIGTERM, and a SIGHUP after the first, change nothing: the process exits in time, and the outcome
+/// of the call is in the journal.
 #[tokio::test]
-async fn signals_during_the_shutdown_change_nothing() {
+async fn ignores_signals_during_the_shutdown() {
     let (discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let mut f = Forwarder::start(&discovery, &known, |_| {}).await;
-    assert_eq!(f.hand_in("unsafe", "m", 20_000).await.status(), 202);
-    let out = stub.next().await;
+    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    assert_eq!(forwarder.submit("unsafe", "m", 20_000).await.status(), 202);
+    let in_flight = stub.next().await;
     let start = Instant::now();
     for _ in 0..3 {
-        f.terminate();
-        f.hang_up();
+        forwarder.send_sigterm();
+        forwarder.send_sighup();
         sleep(Duration::from_millis(20)).await;
     }
-    out.answer(200);
-    assert!(f.exited().await.success());
+    in_flight.answer(200);
+    assert!(forwarder.wait_exit().await.success());
     assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
-    f.restart().await;
-    assert_eq!(f.hand_in("unsafe", "m", 20_000).await.status(), 200);
-    assert!(stub.is_quiet(QUIET).await);
+    forwarder.restart().await;
+    assert_eq!(forwarder.submit("unsafe", "m", 20_000).await.status(), 200);
+    assert!(stub.stays_quiet(QUIET).await);
 }
 
-/// SIGTERM finds clients that rest until they are ended, and one whose request comes in that moment.
+/// At SIGTERM some clients have idle connections, and others have just sent a request.
 #[tokio::test]
-async fn clients_that_rest_at_sigterm_are_ended_without_a_reset() {
+async fn closes_idle_clients_without_a_reset_at_sigterm() {
     let (discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let mut f = Forwarder::start(&discovery, &known, |_| {}).await;
-    let mut resting = Vec::new();
+    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    let mut clients = Vec::new();
     for n in 0..6 {
-        let mut client = RawCall(TcpStream::connect(f.addr).await.expect("it listens"));
+        let mut client =
+            RawConnection(TcpStream::connect(forwarder.addr).await.expect("the forwarder listens"));
         client.write(&message(&format!("m{n}"))).await;
         stub.next().await.answer(200);
-        resting.push(client);
+        clients.push(client);
     }
-    f.stop().await;
-    f.terminate();
-    // Before the program sees the signal, requests stand on half of the connections.
-    for (n, client) in resting.iter_mut().enumerate().skip(3) {
+    forwarder.pause().await;
+    forwarder.send_sigterm();
+    // Half of the connections have a pending request before the program handles the signal.
+    for (n, client) in clients.iter_mut().enumerate().skip(3) {
         client.write(&message(&format!("late{n}"))).await;
     }
-    f.go_on();
+    forwarder.resume();
     let answering = tokio::spawn(async move {
         while let Some(call) = stub.next_within(Duration::from_secs(4)).await {
             call.answer(200);
         }
     });
-    for (n, client) in resting.iter_mut().enumerate() {
-        let text = client.rest_unbroken().await;
+    for (n, client) in clients.iter_mut().enumerate() {
+        let text = client.read_to_clean_end().await;
         let answers = text.matches("HTTP/1.1 202").count();
         assert_eq!(answers, if n < 3 { 1 } else { 2 }, "client {n}: {text:?}");
     }
-    assert!(f.exited().await.success());
+    assert!(forwarder.wait_exit().await.success());
     answering.abort();
 }
 
@@ -284,23 +294,25 @@
     )
 }
 
-/// A folder with 100,000 open messages, and an agent that says nothing: ready all the same, and what was never tried is sent.
+/// The state folder has 100,000 open messages and discovery does not answer: the program becomes ready all
+/// the same, and sends the messages that were never sent.
 #[tokio::test]
-async fn a_hundred_thousand_open_messages_and_a_silent_agent_delay_no_start() {
+async fn starts_in_time_with_100_000_open_messages_and_a_silent_agent() {
     const MESSAGES: u64 = 100_000;
-    let (silent, mut stub, discovery) = (Raw::start().await, Stub::start().await, Discovery::start().await);
+    let (silent, mut stub, discovery) =
+        (RawServer::start().await, Stub::start().await, Discovery::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let at = silent.addr;
-    let mut f = Forwarder::start(&discovery, &known, |c| {
-        c["discovery"] = json!(at.to_string());
+    let silent_addr = silent.addr;
+    let mut forwarder = Forwarder::start(&discovery, &known, |c| {
+        c["discovery"] = json!(silent_addr.to_string());
         c["limits"]["disk_mb"] = json!(400);
         c["limits"]["memory_mb"] = json!(512);
     })
     .await;
-    f.kill();
-    f.fill(MESSAGES, Duration::from_secs(3600));
+    forwarder.kill();
+    forwarder.fill_journal(MESSAGES, Duration::from_secs(3600));
     let start = Instant::now();
-    f.restart().await;
+    forwarder.restart().await;
     assert!(start.elapsed() < Duration::from_secs(10), "ready after {:?}", start.elapsed());
     for _ in 0..20 {
         let call = stub.next().await;
@@ -311,19 +323,21 @@
 
 // ---- Watches ----
 
-/// Whatever becomes of the calls to discovery, what it has is heard before it counts as told.
+/// After any failure of a request to discovery, its list is received before the platform counts it as
+/// announced.
 #[tokio::test]
-async fn whatever_became_of_the_calls_the_list_is_asked_for_again_in_time() {
-    /// Counts from the ask that fails to the next one's beginning.
-    const NEXT: Duration = Duration::from_millis(3600);
-    let (raw, stub) = (Raw::start().await, Stub::start().await);
+async fn requests_the_list_again_in_time_after_any_failed_request() {
+    /// Maximum time from the start of the request that fails to the start of the next one.
+    const MAX_GAP: Duration = Duration::from_millis(3600);
+    let (raw, stub) = (RawServer::start().await, Stub::start().await);
     let discovery = Discovery::start().await;
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let at = raw.addr;
-    let _f = Forwarder::start(&discovery, &known, |c| c["discovery"] = json!(at.to_string())).await;
+    let raw_addr = raw.addr;
+    let _forwarder =
+        Forwarder::start(&discovery, &known, |c| c["discovery"] = json!(raw_addr.to_string())).await;
     let empty = r#"{"rev":1,"all":false,"targets":[]}"#;
     let answers = [
-        // Silent from the start, after some answers, cut in half, garbled, refused, with a body that never ends.
+        // No answer, an incomplete body, a refusal, a garbled body, an incomplete first line, noise.
         "",
         "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":",
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -334,117 +348,127 @@
     let mut call = raw.accept().await;
     for answer in answers.iter().chain(&answers) {
         call.head().await;
-        // A whole answer first: the watch that goes on is the one that fails.
+        // A complete answer first, so that the request that fails is a continued watch.
         call.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{empty}", empty.len())).await;
-        let ask = call.head().await;
-        assert!(ask.contains("wait=2000"), "{ask:?}");
-        let asked = Instant::now();
+        let request = call.head().await;
+        assert!(request.contains("wait=2000"), "{request:?}");
+        let requested_at = Instant::now();
         call.write(answer).await;
-        // On the same connection where the answer was whole, else on a new one.
-        let whole = answer.contains("503");
-        if !whole {
+        // The next request uses the same connection if the answer was complete, else a new one.
+        let is_complete = answer.contains("503");
+        if !is_complete {
             call = raw.accept().await;
         }
         let again = call.head().await;
-        assert!(asked.elapsed() < NEXT, "after {answer:?} asked again in {:?}", asked.elapsed());
-        assert!(!again.contains("wait=2000"), "a new watch tells at once what there is: {again:?}");
+        assert!(
+            requested_at.elapsed() < MAX_GAP,
+            "after {answer:?} requested again in {:?}",
+            requested_at.elapsed()
+        );
+        assert!(!again.contains("wait=2000"), "a new watch must not wait: {again:?}");
         call.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{empty}", empty.len())).await;
     }
 }
 
-/// Idle clients come for every descriptor there is, discovery says nothing, and the program starts anew meanwhile: it is
-/// ready soon, messages are taken on and delivered, and the bound on descriptors holds.
+/// Idle clients try to take all descriptors, discovery does not answer, and the program restarts meanwhile:
+/// it becomes ready in time, accepts and delivers messages, and keeps to its limit on descriptors.
 #[tokio::test]
-async fn idle_clients_and_a_silent_discovery_shut_nobody_out() {
+async fn serves_clients_beside_idle_clients_and_a_silent_discovery() {
     const DESCRIPTORS: u64 = 64;
-    let (silent, mut stub, discovery) = (Raw::start().await, Stub::start().await, Discovery::start().await);
+    let (silent, mut stub, discovery) =
+        (RawServer::start().await, Stub::start().await, Discovery::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let at = silent.addr;
+    let silent_addr = silent.addr;
     let settings = |c: &mut Value| {
-        c["discovery"] = json!(at.to_string());
+        c["discovery"] = json!(silent_addr.to_string());
         c["limits"]["sockets"] = json!(DESCRIPTORS);
     };
-    let mut f = Forwarder::start(&discovery, &known, settings).await;
+    let mut forwarder = Forwarder::start(&discovery, &known, settings).await;
     for round in 0..2 {
         let mut idle = Vec::new();
         for n in 0..100 {
-            if let Ok(Ok(stream)) = timeout(QUIET, TcpStream::connect(f.addr)).await {
+            if let Ok(Ok(stream)) = timeout(QUIET, TcpStream::connect(forwarder.addr)).await {
                 idle.push(stream);
             }
             if n % 20 == 19 {
-                // A client that has said nothing for a quarter of a second may be ended for another.
+                // A client that has sent nothing for a quarter of a second may be closed in favour of
+                // another.
                 sleep(QUIET * 2).await;
                 let id = format!("m{round}-{n}");
-                assert_eq!(f.hand_in("keyed", &id, 9000).await.status(), 202);
+                assert_eq!(forwarder.submit("keyed", &id, 9000).await.status(), 202);
                 stub.next().await.answer(200);
-                let open = f.descriptors();
+                let open = forwarder.descriptors();
                 assert!(open <= DESCRIPTORS, "{open} descriptors");
             }
         }
-        f.kill();
+        forwarder.kill();
         let start = Instant::now();
-        f.restart().await;
+        forwarder.restart().await;
         assert!(start.elapsed() < Duration::from_secs(5), "ready after {:?}", start.elapsed());
     }
 }
 
 // ---- Descriptors ----
 
-/// The configuration allows more descriptors than the system gives: what is shared out is what there is, or idle clients
-/// would take what calls, discovery and the journal need.
+/// The configuration allows more descriptors than the system. The limit of the system has to be split, or
+/// idle clients would take what calls, discovery and the journal need.
 #[tokio::test]
-async fn a_lower_limit_of_the_system_is_shared_out() {
+async fn applies_the_descriptor_limit_of_the_system_if_it_is_lower() {
     const DESCRIPTORS: u64 = 64;
     let (discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let many = |c: &mut Value| c["limits"]["sockets"] = json!(4096);
-    let f = Forwarder::start_within(Some(DESCRIPTORS), &discovery, &known, many).await;
-    let mut client = RawCall(TcpStream::connect(f.addr).await.expect("it listens"));
+    let settings = |c: &mut Value| c["limits"]["sockets"] = json!(4096);
+    let forwarder = Forwarder::start_within(Some(DESCRIPTORS), &discovery, &known, settings).await;
+    let mut client = RawConnection(TcpStream::connect(forwarder.addr).await.expect("the forwarder listens"));
     let mut idle = Vec::new();
     for _ in 0..100 {
-        if let Ok(Ok(stream)) = timeout(QUIET, TcpStream::connect(f.addr)).await {
+        if let Ok(Ok(stream)) = timeout(QUIET, TcpStream::connect(forwarder.addr)).await {
             idle.push(stream);
         }
     }
-    // All at once, each on a connection of its own.
+    // The calls are concurrent, each on its own connection.
     for n in 0..10 {
         client.write(&message(&format!("m{n}"))).await;
         let answer = client.head().await;
         assert!(answer.starts_with("HTTP/1.1 202"), "message {n}: {answer}");
     }
-    let mut out = Vec::new();
+    let mut calls = Vec::new();
     for n in 0..10 {
         let call = stub.next_within(Duration::from_secs(1)).await;
-        out.push(call.unwrap_or_else(|| panic!("call {n} does not come, {} descriptors", f.descriptors())));
+        calls.push(
+            call.unwrap_or_else(|| {
+                panic!("call {n} does not arrive, {} descriptors", forwarder.descriptors())
+            }),
+        );
     }
-    out.into_iter().for_each(|call| call.answer(200));
+    calls.into_iter().for_each(|call| call.answer(200));
 }
 
-/// The descriptors are used up in truth: accepting neither spins nor ends, what is connected is served, and once there are
-/// some again all is as before.
+/// The system has no descriptors left: the accept loop neither spins nor ends, connected clients are served,
+/// and once there are descriptors again new clients are served too.
 #[tokio::test]
-async fn out_of_descriptors_it_serves_whom_it_has_and_goes_on() {
+async fn serves_connected_clients_without_free_descriptors_and_recovers() {
     let (discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let f = Forwarder::start(&discovery, &known, |_| {}).await;
-    let mut client = RawCall(TcpStream::connect(f.addr).await.expect("it listens"));
+    let forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    let mut client = RawConnection(TcpStream::connect(forwarder.addr).await.expect("the forwarder listens"));
     client.write(&message("first")).await;
-    // Its connection is kept for the next call.
+    // The connection to the target is kept for the next call.
     stub.next().await.answer(200);
     assert!(client.head().await.starts_with("HTTP/1.1 202"));
-    f.limit_descriptors(1);
-    let (ticks, start) = (f.ticks(), Instant::now());
-    let queued = TcpStream::connect(f.addr).await.expect("the system takes it on");
+    forwarder.set_descriptor_limit(1);
+    let (ticks_before, start) = (forwarder.cpu_ticks(), Instant::now());
+    let queued = TcpStream::connect(forwarder.addr).await.expect("the system accepts the connection");
     client.write(&message("second")).await;
     let call = stub.next().await;
     assert_eq!(call.header("req-id"), "second");
     call.answer(200);
     assert!(client.head().await.starts_with("HTTP/1.1 202"));
     sleep(Duration::from_secs(1)).await;
-    let (used, span) = (f.ticks() - ticks, start.elapsed());
-    assert!(u128::from(used) * 10 * 4 < span.as_millis(), "{used} ticks in {span:?}");
-    f.limit_descriptors(1024);
-    let mut queued = RawCall(queued);
+    let (used, elapsed) = (forwarder.cpu_ticks() - ticks_before, start.elapsed());
+    assert!(u128::from(used) * 10 * 4 < elapsed.as_millis(), "{used} ticks in {elapsed:?}");
+    forwarder.set_descriptor_limit(1024);
+    let mut queued = RawConnection(queued);
     queued.write(&message("third")).await;
     assert!(queued.head().await.starts_with("HTTP/1.1 202"));
     let call = stub.next().await;
@@ -454,42 +478,41 @@
 
 // ---- Calls ----
 
-/// One of two targets accepts no connection: messages go to the other long before the connection's time is up.
+/// One of two targets accepts no connection: messages go to the other target long before the connect timeout.
 #[tokio::test]
-async fn messages_do_not_wait_for_one_late_connection() {
-    let (discovery, jammed, mut other) =
-        (Discovery::start().await, Jammed::start().await, Stub::start().await);
-    let known = [
-        target("t", jammed.addr, 7, "plain", "in_service"),
-        target("u", other.addr, 7, "plain", "in_service"),
-    ];
-    let f = Forwarder::start(&discovery, &known, |c| {
+async fn messages_do_not_wait_for_a_slow_connection_to_one_target() {
+    let (discovery, full, mut other) =
+        (Discovery::start().await, FullBacklog::start().await, Stub::start().await);
+    let known =
+        [target("t", full.addr, 7, "plain", "in_service"), target("u", other.addr, 7, "plain", "in_service")];
+    let forwarder = Forwarder::start(&discovery, &known, |c| {
         c["settings"]["limits"]["connectTimeout"] = json!(6000.0);
     })
     .await;
     for n in 0..8 {
-        assert_eq!(f.hand_in("unsafe", &format!("m{n}"), 20_000).await.status(), 202);
+        assert_eq!(forwarder.submit("unsafe", &format!("m{n}"), 20_000).await.status(), 202);
     }
     let start = Instant::now();
     for n in 0..8 {
-        let left = Duration::from_secs(4).saturating_sub(start.elapsed());
-        let call = other.next_within(left).await;
-        call.unwrap_or_else(|| panic!("message {n} waits for the other connection")).answer(200);
+        let time_left = Duration::from_secs(4).saturating_sub(start.elapsed());
+        let call = other.next_within(time_left).await;
+        call.unwrap_or_else(|| panic!("message {n} waits for the connection to the other target"))
+            .answer(200);
     }
 }
 
-/// A wait stands in a head that is whole; the body behind it is not.
+/// The head of the answer, with the wait, is complete; its body is not.
 #[tokio::test]
-async fn a_wait_in_an_answer_that_never_ends_binds() {
-    let (discovery, raw) = (Discovery::start().await, Raw::start().await);
+async fn obeys_a_wait_in_an_answer_whose_body_never_ends() {
+    let (discovery, raw) = (Discovery::start().await, RawServer::start().await);
     let known = [target("t", raw.addr, 7, "plain", "in_service")];
-    let f = Forwarder::start(&discovery, &known, |_| {}).await;
-    assert_eq!(f.hand_in("keyed", "m", 20_000).await.status(), 202);
+    let forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    assert_eq!(forwarder.submit("keyed", "m", 20_000).await.status(), 202);
     let mut call = raw.accept().await;
     call.request().await;
     call.write("HTTP/1.1 429 Busy\r\nWait-Ms: 4000\r\nContent-Length: 9\r\n\r\nhal").await;
-    let told = Instant::now();
+    let answered_at = Instant::now();
     let mut next = raw.accept().await;
     next.request().await;
-    assert!(told.elapsed() >= Duration::from_secs(4), "called after {:?}", told.elapsed());
+    assert!(answered_at.elapsed() >= Duration::from_secs(4), "called after {:?}", answered_at.elapsed());
 }
--- a/crates/yarrowhill/tests/support/mod.rs
+++ b/crates/yarrowhill/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Small loopback stand-ins for targets, discovery and clients, and the real program between them.
+//! Runs the real program between small stand-ins for targets, discovery and clients, over loopback sockets.
 #![allow(missing_docs)]
-// Each file of tests uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -24,10 +24,10 @@
 use tokio::time::{sleep, timeout};
 use yarrowhill_journal::{Accepted, Durability, Journal, Options, Record};
 
-/// Longer than anything that a test waits for should take.
-pub const SOON: Duration = Duration::from_secs(10);
+/// Upper bound on each wait of a test.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request that a stand-in got. Unless it is answered, its connection stays silent.
+/// A request that a stand-in received. Its connection stays silent until it is answered.
 pub struct Call {
     pub path: String,
     pub headers: HeaderMap,
@@ -52,31 +52,31 @@
         let _ = self.reply.send(reply.body(Full::new(Bytes::from(body.to_owned()))).ok());
     }
 
-    /// Ends the connection without an answer.
-    pub fn hang_up(self) {
+    /// Closes the connection without an answer.
+    pub fn close_connection(self) {
         let _ = self.reply.send(None);
     }
 
-    /// Keeps the body and does something with the rest.
-    pub fn body_then(self, then: impl FnOnce(Self)) -> Bytes {
+    /// Returns the body after passing the call to `then`.
+    pub fn take_body(self, then: impl FnOnce(Self)) -> Bytes {
         let body = self.body.clone();
         then(self);
         body
     }
 
-    /// Does something that closes the connection, and waits until it is closed.
-    pub async fn closed_after(self, act: impl FnOnce()) {
+    /// Performs `act`, which closes the connection, and waits until it is closed.
+    pub async fn wait_closed_after(self, act: impl FnOnce()) {
         act();
-        self.closed().await;
+        self.wait_closed().await;
     }
 
-    /// Waits until the other side has closed the connection.
-    pub async fn closed(mut self) {
-        timeout(SOON, self.reply.closed()).await.expect("the call is given up");
+    /// Waits until the peer has closed the connection.
+    pub async fn wait_closed(mut self) {
+        timeout(TIMEOUT, self.reply.closed()).await.expect("the call is cancelled in time");
     }
 }
 
-/// An HTTP server whose answers the test gives.
+/// HTTP server whose answers are given by the test.
 pub struct Stub {
     pub addr: SocketAddr,
     calls: mpsc::UnboundedReceiver<Call>,
@@ -87,7 +87,7 @@
 impl Stub {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let addr = listener.local_addr().expect("it is bound");
+        let addr = listener.local_addr().expect("the listener is bound");
         let (send, calls) = mpsc::unbounded_channel();
         let accepted = Arc::new(AtomicUsize::new(0));
         let count = accepted.clone();
@@ -100,13 +100,13 @@
         Stub { addr, calls, accepted, listening: listening.abort_handle() }
     }
 
-    /// Connections so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// Listens no longer: an address where connections are refused.
-    pub async fn closed(self) -> SocketAddr {
+    /// Stops listening and returns the address, at which connections are now refused.
+    pub async fn stop_listening(self) -> SocketAddr {
         self.listening.abort();
         while TcpStream::connect(self.addr).await.is_ok() {
             sleep(Duration::from_millis(1)).await;
@@ -115,17 +115,17 @@
     }
 
     pub async fn next(&mut self) -> Call {
-        timeout(SOON, self.calls.recv()).await.expect("a call comes").expect("the stub lives")
+        timeout(TIMEOUT, self.calls.recv()).await.expect("a call arrives in time").expect("the stub runs")
     }
 
-    /// The next call, if one comes in this time.
-    pub async fn next_within(&mut self, span: Duration) -> Option<Call> {
-        timeout(span, self.calls.recv()).await.ok().flatten()
+    /// Returns the next call, if one arrives within the time.
+    pub async fn next_within(&mut self, duration: Duration) -> Option<Call> {
+        timeout(duration, self.calls.recv()).await.ok().flatten()
     }
 
-    /// Whether nothing has come for so long.
-    pub async fn is_quiet(&mut self, span: Duration) -> bool {
-        timeout(span, self.calls.recv()).await.is_err()
+    /// Returns whether no call arrives within the time.
+    pub async fn stays_quiet(&mut self, duration: Duration) -> bool {
+        timeout(duration, self.calls.recv()).await.is_err()
     }
 }
 
@@ -141,7 +141,8 @@
     let _ = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Discovery: holds watches until a list is pushed, and passes notices on to the test.
+/// Stand-in for discovery, which holds watch requests until a list is pushed, and passes notices on to the
+/// test.
 pub struct Discovery {
     pub addr: SocketAddr,
     lists: mpsc::UnboundedSender<Value>,
@@ -155,27 +156,27 @@
         let (lists, mut pushed) = mpsc::unbounded_channel::<Value>();
         let (pass_on, notices) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            // All that was pushed, in this order, and the call that waits for more.
-            let (mut told, mut watch): (Vec<Value>, Option<Call>) = (Vec::new(), None);
+            // All lists that were pushed, in order, and the request that waits for the next one.
+            let (mut pushed_lists, mut watch): (Vec<Value>, Option<Call>) = (Vec::new(), None);
             loop {
                 tokio::select! {
                     Some(call) = stub.calls.recv() => match call.path.starts_with("/api/targets") {
                         true => watch = Some(call),
                         false => drop(pass_on.send(call)),
                     },
-                    Some(new) = pushed.recv() => told.push(new),
+                    Some(list) = pushed.recv() => pushed_lists.push(list),
                     else => return,
                 }
                 let Some(call) = watch.take() else { continue };
                 let index = call.path.split("index=").nth(1).and_then(|i| i.split('&').next());
                 let index: Option<u64> = index.and_then(|i| i.parse().ok());
-                let known = index.and_then(|i| told.iter().rposition(|list| list["rev"] == i));
-                match told.get(known.map_or(0, |known| known + 1)) {
-                    Some(news) => call.answer_with(200, &[], &news.to_string()),
-                    // An ask that does not wait hears at once that nothing is new.
+                let known = index.and_then(|i| pushed_lists.iter().rposition(|list| list["rev"] == i));
+                match pushed_lists.get(known.map_or(0, |known| known + 1)) {
+                    Some(list) => call.answer_with(200, &[], &list.to_string()),
+                    // A request that does not wait gets an empty list at once.
                     None if call.path.ends_with("&wait=0") => {
-                        let nothing = format!(r#"{{"rev":{},"all":false,"targets":[]}}"#, index.unwrap_or(0));
-                        call.answer_with(200, &[], &nothing);
+                        let empty = format!(r#"{{"rev":{},"all":false,"targets":[]}}"#, index.unwrap_or(0));
+                        call.answer_with(200, &[], &empty);
                     }
                     None => watch = Some(call),
                 }
@@ -188,37 +189,38 @@
         let _ = self.lists.send(json!({"rev": rev, "all": false, "targets": targets}));
     }
 
-    pub fn push_whole(&self, rev: u64, targets: Vec<Value>) {
+    pub fn push_full_list(&self, rev: u64, targets: Vec<Value>) {
         let _ = self.lists.send(json!({"rev": rev, "all": true, "targets": targets}));
     }
 
     pub async fn next_notice(&mut self) -> Call {
-        timeout(SOON, self.notices.recv()).await.expect("a notice comes").expect("the stub lives")
+        timeout(TIMEOUT, self.notices.recv()).await.expect("a notice arrives in time").expect("the stub runs")
     }
 
-    /// The next notices that come together, acknowledged.
+    /// Returns the next batch of notices, after acknowledging it.
     pub async fn notices(&mut self) -> Vec<Value> {
         let call = self.next_notice().await;
         assert_eq!(call.path, "/v1/notices");
-        let text = call.body_then(|call| call.answer(204));
+        let text = call.take_body(|call| call.answer(204));
         let lines = text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
-        lines.map(|line| serde_json::from_slice(line).expect("an object a line")).collect()
+        lines.map(|line| serde_json::from_slice(line).expect("one JSON object per line")).collect()
     }
 
-    /// The next notice, which comes alone.
+    /// Returns the next notice, which is the only one of its batch.
     pub async fn notice(&mut self) -> Value {
         let mut notices = self.notices().await;
         assert_eq!(notices.len(), 1, "{notices:?}");
         notices.remove(0)
     }
 
-    pub async fn is_quiet(&mut self, span: Duration) -> bool {
-        timeout(span, self.notices.recv()).await.is_err()
+    /// Returns whether no notice arrives within the time.
+    pub async fn stays_quiet(&mut self, duration: Duration) -> bool {
+        timeout(duration, self.notices.recv()).await.is_err()
     }
 }
 
-pub fn target(uid: &str, at: SocketAddr, dest: u64, model: &str, state: &str) -> Value {
-    json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": model, "pod_group": dest,
+pub fn target(uid: &str, addr: SocketAddr, dest: u64, model: &str, state: &str) -> Value {
+    json!({"uid": uid, "endpoint": addr.to_string(), "az": "a", "model": model, "pod_group": dest,
            "state": state, "capacity_hint": 50.0, "boot_ms": 0})
 }
 
@@ -246,28 +248,28 @@
     })
 }
 
-/// A configuration that nobody listens by.
+/// Returns a configuration whose addresses are not in use.
 pub fn example() -> Value {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    config(nowhere, nowhere, &[])
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    config(unused, unused, &[])
 }
 
-/// The real program, with a folder of its own.
+/// The real program with its own folder.
 pub struct Forwarder {
     pub addr: SocketAddr,
     folder: PathBuf,
     process: Child,
-    /// Descriptors that the system gives it; none: as many as it gives the test.
+    /// Limit of the system on its descriptors; if none, that of the test applies.
     descriptors: Option<u64>,
 }
 
 impl Forwarder {
-    /// Starts it with a configuration that may be changed, and waits until it is ready.
+    /// Starts the program with the usual configuration after `change`, and waits until it is ready.
     pub async fn start(discovery: &Discovery, known: &[Value], change: impl FnOnce(&mut Value)) -> Self {
         Forwarder::start_within(None, discovery, known, change).await
     }
 
-    /// The same where the system gives it no more than so many descriptors.
+    /// Starts the program as [`Forwarder::start`] does, with a limit of the system on its descriptors.
     pub async fn start_within(
         descriptors: Option<u64>,
         discovery: &Discovery,
@@ -278,96 +280,97 @@
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let folder = env::temp_dir().join(format!("yarrowhill-test-{}-{number}", process::id()));
         fs::create_dir_all(folder.join("state")).expect("a temporary folder");
-        // An address of its own: nobody else takes the port between its choice and the start.
+        // The loopback address is unique to this program, so that no other process takes the port before it
+        // starts.
         let pid = process::id();
-        let own = format!("127.{}.{}.{}:0", 1 + pid / 250 % 250, 1 + pid % 250, 1 + number);
-        let free = std::net::TcpListener::bind(own).expect("a free port");
-        let addr = free.local_addr().expect("it is bound");
+        let unique_addr = format!("127.{}.{}.{}:0", 1 + pid / 250 % 250, 1 + pid % 250, 1 + number);
+        let free = std::net::TcpListener::bind(unique_addr).expect("a free port");
+        let addr = free.local_addr().expect("the listener is bound");
         drop(free);
         let mut config = config(addr, discovery.addr, known);
         change(&mut config);
         fs::write(folder.join("config.json"), config.to_string()).expect("the folder is writable");
         let process = spawn(&folder, descriptors);
         let forwarder = Forwarder { addr, folder, process, descriptors };
-        forwarder.ready().await;
+        forwarder.wait_ready().await;
         forwarder
     }
 
-    async fn ready(&self) {
+    async fn wait_ready(&self) {
         let ready = async {
             while request(self.addr, "GET", "/-/ready", &[], b"").await.is_none_or(|r| r.status() != 200) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(SOON, ready).await.expect("the forwarder gets ready");
+        timeout(TIMEOUT, ready).await.expect("the forwarder becomes ready in time");
     }
 
     pub async fn restart(&mut self) {
         self.process = spawn(&self.folder, self.descriptors);
-        self.ready().await;
+        self.wait_ready().await;
     }
 
-    /// Changes the configuration file that the next start reads.
-    pub fn configure(&self, change: impl FnOnce(&mut Value)) {
+    /// Changes the configuration file, which the next start or SIGHUP reads.
+    pub fn edit_config(&self, change: impl FnOnce(&mut Value)) {
         let path = self.folder.join("config.json");
-        let text = fs::read(&path).expect("it was written");
-        let mut config = serde_json::from_slice(&text).expect("it is JSON");
+        let text = fs::read(&path).expect("the file exists");
+        let mut config = serde_json::from_slice(&text).expect("valid JSON");
         change(&mut config);
         fs::write(&path, config.to_string()).expect("the folder is writable");
     }
 
-    /// SIGSTOP, seen to have taken effect.
-    pub async fn stop(&self) {
+    /// Sends SIGSTOP and waits until the process is stopped.
+    pub async fn pause(&self) {
         self.signal("-STOP");
         let stat = PathBuf::from(format!("/proc/{}/stat", self.process.id()));
         let stopped = async {
-            while !fs::read_to_string(&stat).expect("it lives").contains(") T ") {
+            while !fs::read_to_string(&stat).expect("the process runs").contains(") T ") {
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(SOON, stopped).await.expect("it stops");
+        timeout(TIMEOUT, stopped).await.expect("the process stops in time");
     }
 
-    /// Descriptors that it holds.
+    /// Returns the number of open descriptors of the process.
     pub fn descriptors(&self) -> u64 {
-        let open = fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("it lives");
+        let open = fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("the process runs");
         open.count() as u64
     }
 
-    /// The system gives the running program so many descriptors from now on.
-    pub fn limit_descriptors(&self, most: u64) {
-        let args = ["--pid".to_owned(), self.process.id().to_string(), format!("--nofile={most}:")];
+    /// Sets the limit of the system on descriptors of the running process.
+    pub fn set_descriptor_limit(&self, max: u64) {
+        let args = ["--pid".to_owned(), self.process.id().to_string(), format!("--nofile={max}:")];
         assert!(Command::new("prlimit").args(args).status().expect("prlimit runs").success());
     }
 
-    /// Processor time that it has used (ticks of 10 ms).
-    pub fn ticks(&self) -> u64 {
-        let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("it lives");
-        let behind = stat.rsplit(") ").next().unwrap_or_default();
-        behind.split(' ').skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum()
+    /// Returns the CPU time that the process has used (ticks of 10 ms).
+    pub fn cpu_ticks(&self) -> u64 {
+        let stat = fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("the process runs");
+        let fields = stat.rsplit(") ").next().unwrap_or_default();
+        fields.split(' ').skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum()
     }
 
-    /// SIGCONT.
-    pub fn go_on(&self) {
+    /// Sends SIGCONT.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
-        self.process.kill().and_then(|()| self.process.wait()).expect("it was running");
+        self.process.kill().and_then(|()| self.process.wait()).expect("the process runs");
     }
 
-    pub fn terminate(&self) {
+    pub fn send_sigterm(&self) {
         self.signal("-TERM");
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
     /// Changes the configuration file and sends SIGHUP.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) {
-        self.configure(change);
+        self.edit_config(change);
         self.signal("-HUP");
     }
 
@@ -376,45 +379,47 @@
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
     }
 
-    pub async fn exited(&mut self) -> ExitStatus {
+    pub async fn wait_exit(&mut self) -> ExitStatus {
         let exit = async {
             loop {
-                match self.process.try_wait().expect("it can be waited for") {
+                match self.process.try_wait().expect("the process is a child") {
                     Some(status) => return status,
                     None => sleep(Duration::from_millis(5)).await,
                 }
             }
         };
-        timeout(SOON, exit).await.expect("the forwarder ends")
+        timeout(TIMEOUT, exit).await.expect("the forwarder exits in time")
     }
 
     pub fn journal(&self) -> PathBuf {
         self.folder.join("state/journal")
     }
 
-    /// Puts so many messages for destination 7 into its journal that were taken on and never tried. It must not run.
-    pub fn fill(&self, messages: u64, left: Duration) {
+    /// Writes messages for destination 7 to the journal as accepted and never sent. The process must not be
+    /// running.
+    pub fn fill_journal(&self, messages: u64, time_left: Duration) {
         let now =
-            SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock that is right").as_millis() as u64;
+            SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64;
         let options = Options { max_bytes: 1 << 32, durability: Durability::Process };
-        let (mut journal, _) = Journal::open(&self.folder.join("state"), options, now).expect("it opens");
+        let (mut journal, _) =
+            Journal::open(&self.folder.join("state"), options, now).expect("the journal opens");
         let accepted = |n: u64| Accepted {
             id: format!("open-{n}"),
             class: "unsafe".into(),
             tenant: Some("acme".into()),
             dest: 7,
             key: None,
-            deadline: now + left.as_millis() as u64,
+            deadline: now + time_left.as_millis() as u64,
             body: Bytes::from_static(b"body"),
         };
         let records: Vec<Record> = (0..messages).map(|n| Record::Accepted(accepted(n))).collect();
         for turn in records.chunks(1000) {
-            journal.commit(turn, now).expect("there is room");
+            journal.commit(turn, now).expect("the journal has room");
         }
     }
 
-    /// Hands in a message for destination 7 and gives the answer.
-    pub async fn hand_in(&self, class: &str, id: &str, deadline_ms: u64) -> Response<Bytes> {
+    /// Submits a message for destination 7 and returns the answer.
+    pub async fn submit(&self, class: &str, id: &str, deadline_ms: u64) -> Response<Bytes> {
         let deadline = deadline_ms.to_string();
         let headers = [
             ("Req-Id", id),
@@ -428,14 +433,14 @@
         request(self.addr, "POST", &path, &headers, body.as_bytes()).await.expect("an answer")
     }
 
-    /// Hands the same message in until the forwarder says that it was delivered.
-    pub async fn until_delivered(&self, class: &str, id: &str) {
+    /// Submits the same message until the forwarder answers that it was delivered.
+    pub async fn wait_until_delivered(&self, class: &str, id: &str) {
         let delivered = async {
-            while self.hand_in(class, id, 1000).await.status() != 200 {
+            while self.submit(class, id, 1000).await.status() != 200 {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(SOON, delivered).await.expect("it is known as delivered");
+        timeout(TIMEOUT, delivered).await.expect("the message is reported as delivered in time");
     }
 }
 
@@ -448,7 +453,7 @@
 }
 
 fn spawn(folder: &std::path::Path, descriptors: Option<u64>) -> Child {
-    let limit = descriptors.map(|most| format!("ulimit -n {most}; ")).unwrap_or_default();
+    let limit = descriptors.map(|max| format!("ulimit -n {max}; ")).unwrap_or_default();
     Command::new("sh")
         .args(["-c", &(limit + "exec \"$0\""), env!("CARGO_BIN_EXE_yarrowhill")])
         .env("BALANCER_CONFIG", folder.join("config.json"))
@@ -457,15 +462,15 @@
         .expect("the program starts")
 }
 
-/// One request on a connection of its own; `None` if no answer came.
+/// Sends one request on its own connection. Returns `None` if there is no answer.
 pub async fn request(
-    to: SocketAddr,
+    addr: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Option<Response<Bytes>> {
-    let stream = TcpStream::connect(to).await.ok()?;
+    let stream = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
     let mut request = Request::builder().method(method).uri(path).header("Host", "api.internal");
@@ -477,33 +482,33 @@
     Some(Response::from_parts(parts, body.collect().await.ok()?.to_bytes()))
 }
 
-/// A target that says, byte for byte, what the test gives it.
-pub struct Raw {
+/// Target that sends, byte for byte, what the test gives it.
+pub struct RawServer {
     pub addr: SocketAddr,
     listener: TcpListener,
 }
 
-impl Raw {
+impl RawServer {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        Raw { addr: listener.local_addr().expect("it is bound"), listener }
+        RawServer { addr: listener.local_addr().expect("the listener is bound"), listener }
     }
 
-    /// The next connection.
-    pub async fn accept(&self) -> RawCall {
-        let accepted = timeout(SOON, self.listener.accept()).await.expect("a connection comes");
-        RawCall(accepted.expect("it listens").0)
+    /// Returns the next connection.
+    pub async fn accept(&self) -> RawConnection {
+        let accepted = timeout(TIMEOUT, self.listener.accept()).await.expect("a connection arrives in time");
+        RawConnection(accepted.expect("the listener is open").0)
     }
 }
 
-/// A connection of the forwarder's, or a test's own to it.
-pub struct RawCall(pub TcpStream);
+/// A connection from the forwarder, or from the test to it.
+pub struct RawConnection(pub TcpStream);
 
-impl RawCall {
-    /// Reads one request with a `content-length`, and gives its text.
+impl RawConnection {
+    /// Reads one request with a `content-length` and returns its text.
     pub async fn request(&mut self) -> String {
         let mut text = Vec::new();
-        let whole = async {
+        let complete = async {
             loop {
                 let read = String::from_utf8_lossy(&text).into_owned();
                 if let Some((head, body)) = read.split_once("\r\n\r\n") {
@@ -514,81 +519,88 @@
                         return read;
                     }
                 }
-                assert!(self.0.read_buf(&mut text).await.expect("it is open") > 0, "closed: {read:?}");
+                assert!(
+                    self.0.read_buf(&mut text).await.expect("the connection is open") > 0,
+                    "closed: {read:?}"
+                );
             }
         };
-        timeout(SOON, whole).await.expect("a request comes")
+        timeout(TIMEOUT, complete).await.expect("a complete request arrives in time")
     }
 
-    /// Reads one head with no body behind it, and gives its text.
+    /// Reads one head without a body and returns its text.
     pub async fn head(&mut self) -> String {
         let mut text = Vec::new();
-        let whole = async {
+        let complete = async {
             while !text.ends_with(b"\r\n\r\n") {
-                let read = self.0.read_buf(&mut text).await.expect("it is open");
+                let read = self.0.read_buf(&mut text).await.expect("the connection is open");
                 assert!(read > 0, "closed: {:?}", String::from_utf8_lossy(&text));
             }
         };
-        timeout(SOON, whole).await.expect("a request comes");
+        timeout(TIMEOUT, complete).await.expect("a complete request arrives in time");
         String::from_utf8_lossy(&text).into_owned()
     }
 
     pub async fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).await.expect("it is open");
+        self.0.write_all(text.as_bytes()).await.expect("the connection is open");
     }
 
-    /// All that comes until the other side ends its sending, which it does without a reset.
-    pub async fn rest_unbroken(&mut self) -> String {
+    /// Reads until the peer closes the connection, and panics if it resets it.
+    pub async fn read_to_clean_end(&mut self) -> String {
         let mut text = Vec::new();
-        let read = timeout(SOON, self.0.read_to_end(&mut text)).await.expect("it is closed");
+        let read =
+            timeout(TIMEOUT, self.0.read_to_end(&mut text)).await.expect("the connection is closed in time");
         let text = String::from_utf8_lossy(&text).into_owned();
-        read.unwrap_or_else(|e| panic!("{e} behind {text:?}"));
+        read.unwrap_or_else(|e| panic!("{e} after {text:?}"));
         text
     }
 
-    /// All that comes until the other side closes.
-    pub async fn rest(&mut self) -> String {
+    /// Reads until the peer closes or resets the connection.
+    pub async fn read_to_end(&mut self) -> String {
         let mut text = Vec::new();
-        // A reset is a close.
-        let _ = timeout(SOON, self.0.read_to_end(&mut text)).await.expect("it is closed");
+        // A reset counts as a close.
+        let _ =
+            timeout(TIMEOUT, self.0.read_to_end(&mut text)).await.expect("the connection is closed in time");
         String::from_utf8_lossy(&text).into_owned()
     }
 }
 
-/// An address whose connections do not come up until somebody accepts: its queue is full.
-pub struct Jammed {
+/// Address whose listen backlog is full: connections to it are established only once earlier ones are
+/// accepted.
+pub struct FullBacklog {
     pub addr: SocketAddr,
     listener: TcpListener,
-    up: Vec<TcpStream>,
-    /// The test's own, which fill the queue.
+    accepted: Vec<TcpStream>,
+    /// Connections of the test that fill the backlog.
     _queued: Vec<TcpStream>,
 }
 
-impl Jammed {
+impl FullBacklog {
     pub async fn start() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
-        let listener = socket.listen(1).expect("it listens");
-        let addr = listener.local_addr().expect("it is bound");
+        let listener = socket.listen(1).expect("the socket listens");
+        let addr = listener.local_addr().expect("the listener is bound");
         let mut queued = Vec::new();
         while let Ok(Ok(stream)) = timeout(Duration::from_millis(150), TcpStream::connect(addr)).await {
             queued.push(stream);
         }
-        Jammed { addr, listener, up: Vec::new(), _queued: queued }
+        FullBacklog { addr, listener, accepted: Vec::new(), _queued: queued }
     }
 
-    /// Lets connections come up for so long: the system tries those that found the queue full again after a second.
-    pub async fn let_in(&mut self, span: Duration) {
-        let all = async {
+    /// Accepts connections for this time. The system retries those that found the backlog full after a
+    /// second.
+    pub async fn accept_for(&mut self, duration: Duration) {
+        let accept_all = async {
             loop {
-                self.up.push(self.listener.accept().await.expect("it listens").0);
+                self.accepted.push(self.listener.accept().await.expect("the listener is open").0);
             }
         };
-        let _ = timeout(span, all).await;
+        let _ = timeout(duration, accept_all).await;
     }
 
-    /// How many bytes stand on the connections that have come up. One that is open and silent holds none.
-    pub fn read(&self) -> usize {
-        self.up.iter().map(|stream| stream.try_read(&mut [0; 4096]).unwrap_or(0)).sum()
+    /// Reads what has arrived on the accepted connections, and returns the number of bytes.
+    pub fn received_bytes(&self) -> usize {
+        self.accepted.iter().map(|stream| stream.try_read(&mut [0; 4096]).unwrap_or(0)).sum()
     }
 }
