--- a/crates/attack/src/bin/attack.rs
+++ b/crates/attack/src/bin/attack.rs
@@ -1,16 +1,17 @@
-//! Attacks by command: seeded schedules, small worlds, figures.
+//! Command line of the attack package: seeded fault schedules, state-space search, measurements.
 
 use clap::{Parser, Subcommand};
 use hdrhistogram::Histogram;
 use std::process::ExitCode;
 use yarrowhill_attack::{
-    DutyWorld, Ending, Even, IdentityWorld, RightsWorld, Schedule, SupportWorld, Way, measure,
-    measure_duties, measure_replaced, measure_return, measure_rights, measure_shares, plain, play,
-    play_duties, play_return, play_rights,
+    DutyWorld, IdentityWorld, LimitDivision, RecoveryMode, RightsWorld, Schedule, SupportWorld, TermEnd,
+    measure_detection, measure_duties, measure_heartbeats, measure_replacement, measure_return,
+    measure_rights, measure_shares, run_duties_schedule, run_return_schedule, run_rights_schedule,
+    run_schedule,
 };
 use yarrowhill_kernel::{SearchResult, search};
 
-/// Attacks the packages without I/O, clocks and chance.
+/// Tests the deterministic packages in virtual time.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -19,186 +20,198 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays seeded faults over fleets in virtual time.
+    /// Runs seeded fault schedules on membership fleets.
     Schedules {
-        /// How many.
+        /// Number of seeds.
         #[arg(long, default_value_t = 10_000)]
         seeds: u64,
-        /// The first.
+        /// First seed.
         #[arg(long, default_value_t = 0)]
         from: u64,
     },
-    /// Prints the faults of a seed and plays it.
+    /// Prints the fault schedule of a seed and runs it.
     Seed {
-        /// Which.
+        /// The seed.
         seed: u64,
     },
-    /// Searches small worlds through.
+    /// Searches the state spaces of small models of membership and shared limits.
     Search {
-        /// States at most.
-        #[arg(long, default_value_t = 3_000_000)]
-        most: usize,
+        /// Maximum number of states of each model.
+        #[arg(long = "most", value_name = "MOST", default_value_t = 3_000_000)]
+        max_states: usize,
     },
-    /// Plays seeded faults over rights in virtual time.
+    /// Measures shared limits and runs seeded fault schedules on them.
     Rights {
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// Members, to be measured.
+        /// Fleet sizes to measure.
         #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
         sizes: Vec<usize>,
     },
-    /// Plays seeded faults over duties in virtual time, and searches small worlds of them.
+    /// Measures duties, searches the state spaces of small models, and runs seeded fault schedules.
     Duties {
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// The first.
+        /// First seed.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// States at most of each small world; 0 leaves them out.
-        #[arg(long, default_value_t = 2_000_000)]
-        most: usize,
-        /// Members, to be measured.
+        /// Maximum number of states of each model; 0 skips the search.
+        #[arg(long = "most", value_name = "MOST", default_value_t = 2_000_000)]
+        max_states: usize,
+        /// Fleet sizes to measure.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<usize>,
     },
-    /// Plays a partner of all that is down and comes back, by seeds and as figures.
+    /// Measures the outage and return of a common destination, and runs seeded fault schedules with one.
     Returns {
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// Members, to be measured.
+        /// Fleet sizes to measure.
         #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
         sizes: Vec<usize>,
     },
-    /// Measures fleets of these sizes.
+    /// Measures failure detection, compared with plain heartbeats.
     Measure {
-        /// Members.
+        /// Fleet sizes.
         #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
         sizes: Vec<usize>,
-        /// Shares of packets that are lost.
+        /// Fractions of packets that are lost.
         #[arg(long, value_delimiter = ',', default_value = "0")]
         loss: Vec<f64>,
-        /// So many in ten are slow.
+        /// Number of slow members in every ten.
         #[arg(long, default_value_t = 0)]
         slow: usize,
-        /// Deaths.
+        /// Number of deaths.
         #[arg(long, default_value_t = 10)]
         deaths: usize,
-        /// The seed.
+        /// Seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Replaces half of a fleet within ten periods.
+    /// Measures the replacement of half of a fleet within ten probe periods.
     Replaced {
-        /// Members.
+        /// Fleet size.
         #[arg(long, default_value_t = 200)]
         size: usize,
-        /// Seeds, from 1 on.
+        /// Number of seeds, from 1 on.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// What members use of a limit while seven in ten are away, and when they return.
+    /// Measures the use of a limit while seven in ten members are absent, and after they return.
     Shares {
-        /// Members.
+        /// Fleet sizes.
         #[arg(long, value_delimiter = ',', default_value = "10,30,300")]
         sizes: Vec<usize>,
-        /// The share of packets that is lost.
+        /// Fraction of packets that is lost.
         #[arg(long, default_value_t = 0.0)]
         loss: f64,
-        /// Seeds, from 1 on.
+        /// Number of seeds, from 1 on.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
 }
 
 fn main() -> ExitCode {
-    let clean = match Cli::parse().command {
+    let passed = match Cli::parse().command {
         Command::Schedules { seeds, from } => schedules(from..from + seeds),
         Command::Seed { seed } => {
-            let schedule = Schedule::draw(seed);
+            let schedule = Schedule::from_seed(seed);
             schedule.faults.iter().for_each(|(at, f)| println!("{:8.3} {f:?}", *at as f64 / 1e6));
-            println!("{} members, healed at {:.0} s", schedule.size, schedule.healed as f64 / 1e6);
-            let played = play(&schedule);
-            played.iter().for_each(|()| println!("held"));
-            played.map_err(|b| println!("{b}")).is_ok()
+            println!(
+                "{} members, all faults repaired at {:.0} s",
+                schedule.size,
+                schedule.healed_at as f64 / 1e6
+            );
+            let result = run_schedule(&schedule);
+            result.iter().for_each(|()| println!("all properties hold"));
+            result.map_err(|violation| println!("{violation}")).is_ok()
         }
-        Command::Search { most } => {
-            let one = told("support for views", &search(&SupportWorld::default(), most));
-            let two = told("identity over restarts", &search(&IdentityWorld { starts: 2 }, most));
-            let fast = RightsWorld { keepers: [11, 11], ..RightsWorld::default() };
-            let slow = RightsWorld { keepers: [9, 9], ..RightsWorld::default() };
-            let three = told("rights, keepers' clocks fast", &search(&fast, most));
-            let four = told("rights, keepers' clocks slow", &search(&slow, most));
-            one && two && three && four
+        Command::Search { max_states } => {
+            let support = report_search("support for views", &search(&SupportWorld::default(), max_states));
+            let identity =
+                report_search("identity over restarts", &search(&IdentityWorld { restarts: 2 }, max_states));
+            let fast = RightsWorld { coordinators: [11, 11], ..RightsWorld::default() };
+            let slow = RightsWorld { coordinators: [9, 9], ..RightsWorld::default() };
+            let rights_fast = report_search("rights, fast coordinator clocks", &search(&fast, max_states));
+            let rights_slow = report_search("rights, slow coordinator clocks", &search(&slow, max_states));
+            support && identity && rights_fast && rights_slow
         }
         Command::Rights { seeds, sizes } => {
             for size in sizes {
-                for even in [Even::Rights, Even::Split] {
-                    println!("{size} members, {even:?}: {}", measure_rights(size, even, 1));
+                for division in [LimitDivision::Lending, LimitDivision::Fixed] {
+                    println!("{size} members, {division:?}: {}", measure_rights(size, division, 1));
                 }
             }
-            let broken: Vec<_> = (0..seeds).filter_map(|s| play_rights(s).err().map(|b| (s, b))).collect();
-            broken.iter().take(10).for_each(|(seed, b)| println!("seed {seed}: {b}"));
-            println!("{seeds} schedules of rights, {} broken", broken.len());
-            broken.is_empty()
+            let violations: Vec<_> = (0..seeds)
+                .filter_map(|s| run_rights_schedule(s).err().map(|violation| (s, violation)))
+                .collect();
+            violations.iter().take(10).for_each(|(seed, violation)| println!("seed {seed}: {violation}"));
+            println!("{seeds} schedules of rights, {} with violations", violations.len());
+            violations.is_empty()
         }
-        Command::Duties { seeds, from, most, sizes } => {
+        Command::Duties { seeds, from, max_states, sizes } => {
             for size in sizes {
-                for ending in [Ending::Killed, Ending::Stopped, Ending::Cut, Ending::Asked] {
-                    let f = measure_duties(size, ending, 10, 1);
+                for term_end in [TermEnd::Killed, TermEnd::Stopped, TermEnd::Cut, TermEnd::Asked] {
+                    let f = measure_duties(size, term_end, 10, 1);
                     let s = |q: f64| f.gap.value_at_quantile(q) as f64 / 1000.0;
                     println!(
-                        "{size} members, {ending:?}: nobody holds it for {:.1} / {:.1} / {:.1} s; at rest {:.1} letters, {:.0} bytes a second over all",
+                        "{size} members, {term_end:?}: no holder for {:.1} / {:.1} / {:.1} s \
+                         (p50 / p90 / max), idle traffic {:.1} messages, {:.0} bytes per second",
                         s(0.5),
                         s(0.9),
                         s(1.0),
-                        f.letters,
+                        f.messages,
                         f.bytes
                     );
                 }
             }
-            let plain = DutyWorld::default();
-            let worlds = [
-                ("holders slow, voters fast", plain),
-                ("holders fast, voters slow", DutyWorld { rates: [11, 9], ..plain }),
-                ("steps of progress", DutyWorld { steps: 1, restarts: 0, ..plain }),
-                ("an old word", DutyWorld { strays: 1, restarts: 0, renewals: 0, ..plain }),
-                ("a folder lost", DutyWorld { wipes: 1, restarts: 0, renewals: 0, ..plain }),
+            let base = DutyWorld::default();
+            let models = [
+                ("slow holders, fast voters", base),
+                ("fast holders, slow voters", DutyWorld { rates: [11, 9], ..base }),
+                ("steps of progress", DutyWorld { max_step: 1, restarts: 0, ..base }),
+                ("a delayed request", DutyWorld { delayed_messages: 1, restarts: 0, renewals: 0, ..base }),
+                ("a lost folder", DutyWorld { folder_losses: 1, restarts: 0, renewals: 0, ..base }),
             ];
-            let mut clean = true;
-            for (what, world) in worlds.into_iter().filter(|_| most > 0) {
-                clean &= told(&format!("duties, {what}"), &search(&world, most));
+            let mut passed = true;
+            for (name, model) in models.into_iter().filter(|_| max_states > 0) {
+                passed &= report_search(&format!("duties, {name}"), &search(&model, max_states));
             }
-            let broken = over_cores(from..from + seeds, |seed| play_duties(seed).err().map(|b| (seed, b)));
-            broken.iter().take(10).for_each(|(seed, b)| println!("seed {seed}: {b}"));
-            println!("{seeds} schedules of duties, {} broken", broken.len());
-            clean && broken.is_empty()
+            let violations = run_seeds(from..from + seeds, |seed| {
+                run_duties_schedule(seed).err().map(|violation| (seed, violation))
+            });
+            violations.iter().take(10).for_each(|(seed, violation)| println!("seed {seed}: {violation}"));
+            println!("{seeds} schedules of duties, {} with violations", violations.len());
+            passed && violations.is_empty()
         }
         Command::Returns { seeds, sizes } => {
             for size in sizes {
-                for way in [Way::Together, Way::Apart] {
-                    println!("{size} members, {way:?}: {}", measure_return(size, way, 1));
+                for mode in [RecoveryMode::Coordinated, RecoveryMode::Independent] {
+                    println!("{size} members, {mode:?}: {}", measure_return(size, mode, 1));
                 }
             }
-            let broken: Vec<_> = (0..seeds).filter_map(|s| play_return(s).err().map(|b| (s, b))).collect();
-            broken.iter().take(10).for_each(|(seed, b)| println!("seed {seed}: {b}"));
-            println!("{seeds} schedules of returns, {} broken", broken.len());
-            broken.is_empty()
+            let violations: Vec<_> = (0..seeds)
+                .filter_map(|s| run_return_schedule(s).err().map(|violation| (s, violation)))
+                .collect();
+            violations.iter().take(10).for_each(|(seed, violation)| println!("seed {seed}: {violation}"));
+            println!("{seeds} schedules of returns, {} with violations", violations.len());
+            violations.is_empty()
         }
         Command::Measure { sizes, loss, slow, deaths, seed } => {
             for size in sizes {
                 for loss in &loss {
-                    figures(size, *loss, slow, deaths, seed);
+                    print_detection(size, *loss, slow, deaths, seed);
                 }
             }
             true
         }
         Command::Replaced { size, seeds } => {
-            let spans: Vec<Option<u64>> = (1..=seeds).map(|seed| measure_replaced(size, seed)).collect();
-            println!("half of {size} replaced: one view of all after {spans:?} ms");
-            spans.iter().all(Option::is_some)
+            let times: Vec<Option<u64>> = (1..=seeds).map(|seed| measure_replacement(size, seed)).collect();
+            println!("half of {size} members replaced: common complete view after {times:?} ms");
+            times.iter().all(Option::is_some)
         }
         Command::Shares { sizes, loss, seeds } => {
             for size in sizes {
@@ -209,30 +222,31 @@
             true
         }
     };
-    if clean { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn schedules(seeds: std::ops::Range<u64>) -> bool {
     let count = seeds.end - seeds.start;
-    let broken = over_cores(seeds, |seed| play(&Schedule::draw(seed)).err().map(|b| (seed, b)));
-    broken.iter().take(20).for_each(|(seed, breach)| println!("seed {seed}: {breach}"));
-    println!("{count} schedules, {} broken", broken.len());
-    broken.is_empty()
+    let violations = run_seeds(seeds, |seed| {
+        run_schedule(&Schedule::from_seed(seed)).err().map(|violation| (seed, violation))
+    });
+    violations.iter().take(20).for_each(|(seed, violation)| println!("seed {seed}: {violation}"));
+    println!("{count} schedules, {} with violations", violations.len());
+    violations.is_empty()
 }
 
-/// Plays seeds on all cores; what was found, in the order of the seeds.
-fn over_cores<T: Send>(
+/// Runs seeds on all cores and returns the results in the order of the seeds.
+fn run_seeds<T: Send>(
     seeds: std::ops::Range<u64>,
-    play: impl Fn(u64) -> Option<(u64, T)> + Sync,
+    run: impl Fn(u64) -> Option<(u64, T)> + Sync,
 ) -> Vec<(u64, T)> {
     let jobs = std::thread::available_parallelism().map_or(1, usize::from) as u64;
     let mut found = Vec::new();
-    let (seeds, play) = (&seeds, &play);
+    let (seeds, run) = (&seeds, &run);
     std::thread::scope(|scope| {
-        let run = |job| {
-            move || seeds.clone().filter(|seed| seed % jobs == job).filter_map(play).collect::<Vec<_>>()
-        };
-        let threads: Vec<_> = (0..jobs).map(|job| scope.spawn(run(job))).collect();
+        let worker =
+            |job| move || seeds.clone().filter(|seed| seed % jobs == job).filter_map(run).collect::<Vec<_>>();
+        let threads: Vec<_> = (0..jobs).map(|job| scope.spawn(worker(job))).collect();
         for thread in threads {
             found.extend(thread.join().unwrap_or_default());
         }
@@ -241,29 +255,35 @@
     found
 }
 
-fn told<S: std::fmt::Debug>(what: &str, found: &SearchResult<S>) -> bool {
-    let SearchResult { states, depth, complete, violation: breach } = found;
-    println!("{what}: {states} states, {depth} deep, {}", if *complete { "complete" } else { "cut off" });
-    if let Some((way, breach)) = breach {
-        println!("  {breach}, by:");
-        way.iter().for_each(|step| println!("    {step:?}"));
+fn report_search<S: std::fmt::Debug>(name: &str, found: &SearchResult<S>) -> bool {
+    let SearchResult { states, depth, complete, violation } = found;
+    println!("{name}: {states} states, depth {depth}, {}", if *complete { "complete" } else { "incomplete" });
+    if let Some((steps, violation)) = violation {
+        println!("  {violation}, by:");
+        steps.iter().for_each(|step| println!("    {step:?}"));
     }
-    breach.is_none()
+    violation.is_none()
 }
 
-fn figures(size: usize, loss: f64, slow: usize, deaths: usize, seed: u64) {
-    let f = measure(size, loss, slow, deaths, seed);
+fn print_detection(size: usize, loss: f64, slow: usize, deaths: usize, seed: u64) {
+    let f = measure_detection(size, loss, slow, deaths, seed);
     let at = |h: &Histogram<u64>| {
         let s = |q: f64| h.value_at_quantile(q) as f64 / 1000.0;
         format!("{:.1} / {:.1} / {:.1} s (of {})", s(0.5), s(0.9), s(1.0), h.len())
     };
-    println!("{size} members, loss {loss}, {slow} in ten slow; p50 / p90 / most");
-    println!("  first to know {}", at(&f.first));
-    println!("  all know      {}", at(&f.all));
-    println!("  one view      {}", at(&f.agreed));
-    println!("  at rest       {:.0} bytes a second a member; wrongly held for dead {:.1}", f.rest, f.wrong);
+    println!("{size} members, loss {loss}, {slow} in ten slow; p50 / p90 / max");
+    println!("  first detection {}", at(&f.first_detection));
+    println!("  full detection  {}", at(&f.full_detection));
+    println!("  view agreement  {}", at(&f.view_agreement));
+    println!(
+        "  idle            {:.0} bytes per second and member; false deaths per hour {:.1}",
+        f.idle_bytes, f.false_deaths
+    );
     if size <= 300 {
-        let (all, rest) = plain(size, loss, deaths, seed);
-        println!("  plain heartbeats: all know {}, {rest:.0} bytes a second a member", at(&all));
+        let (all, idle_bytes) = measure_heartbeats(size, loss, deaths, seed);
+        println!(
+            "  plain heartbeats: full detection {}, {idle_bytes:.0} bytes per second and member",
+            at(&all)
+        );
     }
 }
--- a/crates/attack/src/duties.rs
+++ b/crates/attack/src/duties.rs
@@ -1,6 +1,6 @@
-//! Duties under attack: a small world searched through, seeded schedules in virtual time, and figures.
+//! Duties: a small model for state-space search, seeded fault schedules in virtual time, and measurements.
 
-use crate::schedule::Breach;
+use crate::schedule::Violation;
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,43 +13,44 @@
 };
 use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault, World};
 
-/// Three voters and two candidates. Anything may happen that the assumptions allow: questions are answered at any later time, or
-/// the answer is lost; one word that was written long ago comes once more; voters start again, one of them with an older copy of its
-/// folder or none; candidates start again, and write, hand on and give up when they like.
+/// Model of three voters and two candidates. Every step that the assumptions allow is possible: requests are
+/// answered at any later time, or the answer is lost; a delayed copy of a request arrives; voters restart,
+/// some of them with an older copy of their state folder or with none; candidates restart, renew, record
+/// steps and release the duty at any time.
 #[derive(Clone, Copy, Debug)]
 pub struct DutyWorld {
-    /// The rates of the candidates' and of the voters' clocks, in steps a step of the world.
+    /// Clock rates of the candidates and of the voters, in clock units for each [`DutyStep::Tick`].
     pub rates: [u64; 2],
-    /// What those rates were said to be.
+    /// Drift bound that the protocol is configured with.
     pub drift: f64,
-    /// A lease, in steps.
+    /// Lease duration in clock units.
     pub lease: u64,
-    /// The highest ballot.
-    pub ballots: u64,
-    /// Voters that may lose their folder, and get an older copy of it.
-    pub wipes: u8,
-    /// Starts of voters with their folder kept.
+    /// Highest ballot number.
+    pub max_ballot: u64,
+    /// Number of times that a voter loses its state folder or gets an older copy of it.
+    pub folder_losses: u8,
+    /// Number of restarts of voters with their state folder kept.
     pub restarts: u8,
-    /// Words that come once more, long after.
-    pub strays: u8,
-    /// Steps of progress that are written.
-    pub steps: u64,
-    /// Renewals.
+    /// Number of requests of which a copy is delayed and delivered later.
+    pub delayed_messages: u8,
+    /// Highest step of progress that is recorded.
+    pub max_step: u64,
+    /// Number of renewals.
     pub renewals: u8,
 }
 
 impl Default for DutyWorld {
     fn default() -> Self {
-        // A tenth wrong either way.
+        // Clocks are a tenth too slow or too fast.
         DutyWorld {
             rates: [9, 11],
             drift: 0.1,
             lease: 20,
-            ballots: 2,
-            wipes: 0,
+            max_ballot: 2,
+            folder_losses: 0,
             restarts: 1,
-            strays: 0,
-            steps: 0,
+            delayed_messages: 0,
+            max_step: 0,
             renewals: 1,
         }
     }
@@ -57,74 +58,80 @@
 
 const VOTERS: u64 = 3;
 const DUTY: u64 = 5;
-/// What every clock reads.
+/// Reading of every clock in a state.
 const NOW: u64 = 1_000_000;
 const BOOT: u64 = 4;
 
-/// A state of it.
+/// State of [`DutyWorld`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DutyState {
     voters: Vec<Voter>,
-    seekers: Vec<Proposer>,
-    /// What each asks of all now: the ballot that it wants, or its newest word.
-    asks: Vec<Option<(u64, Word)>>,
-    stray: Option<(u64, Word)>,
-    left: (u8, u8, u8, u8),
-    /// Steps that were decided, with what was done, as far as a holder was told.
+    proposers: Vec<Proposer>,
+    /// Current request of each candidate to all voters, with the candidate's index: the ballot that it wants
+    /// to be promised, or its newest write.
+    requests: Vec<Option<(u64, Request)>>,
+    /// Copy of a request that is delivered later.
+    delayed: Option<(u64, Request)>,
+    /// Remaining restarts, folder losses, delayed requests and renewals.
+    remaining: (u8, u8, u8, u8),
+    /// Steps that holders know to be decided, with the recorded progress.
     decided: BTreeMap<u64, Vec<u8>>,
+    /// Newest token under which the duty was acquired.
     token: u64,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-/// A question.
+/// A request to a voter that changes its register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Word {
+enum Request {
     Prepare(yarrowhill_duties::Ballot),
     Accept { ballot: yarrowhill_duties::Ballot, seq: u64, value: RegisterValue },
 }
 
-impl Word {
-    fn of(ask: VoterRequest) -> Option<Self> {
-        match ask {
+impl Request {
+    fn from_voter_request(request: VoterRequest) -> Option<Self> {
+        match request {
             VoterRequest::Query => None,
-            VoterRequest::Prepare(ballot) => Some(Word::Prepare(ballot)),
-            VoterRequest::Accept(Write { ballot, seq, value }) => Some(Word::Accept { ballot, seq, value }),
+            VoterRequest::Prepare(ballot) => Some(Request::Prepare(ballot)),
+            VoterRequest::Accept(Write { ballot, seq, value }) => {
+                Some(Request::Accept { ballot, seq, value })
+            }
         }
     }
 }
 
-/// A step of it.
+/// Step of [`DutyWorld`]. Candidates and voters are given by index.
 #[derive(Clone, Copy, Debug)]
 pub enum DutyStep {
-    /// Time passes.
-    Time,
-    /// A candidate asks for a ballot, and these voters (by bits) hear it and are heard.
-    Begin(usize, u8),
-    /// A voter hears what a candidate asks now; the answer comes, or is lost.
-    Hear {
-        /// Whose question.
-        by: usize,
-        /// Which voter.
+    /// Advances all clocks.
+    Tick,
+    /// A candidate starts a ballot, and these voters (a bit mask) receive its request and answer it.
+    Prepare(usize, u8),
+    /// A voter receives a candidate's current request; the answer arrives or is lost.
+    Deliver {
+        /// Index of the candidate.
+        candidate: usize,
+        /// Index of the voter.
         voter: usize,
-        /// Whether the answer comes.
-        comes: bool,
+        /// Whether the answer arrives.
+        answered: bool,
     },
-    /// A holder renews,
+    /// A holder renews its lease.
     Renew(usize),
-    /// writes a step of progress,
-    Step(usize),
-    /// or gives the duty up.
-    Give(usize),
-    /// What a candidate asks is kept by the network,
-    Keep(usize),
-    /// and comes to a voter later.
-    Stray(usize),
-    /// A voter starts again with its folder as it was,
+    /// A holder records a step of progress.
+    RecordStep(usize),
+    /// A holder releases the duty.
+    Release(usize),
+    /// The network keeps a copy of a candidate's current request.
+    Delay(usize),
+    /// A voter receives the delayed copy.
+    DeliverDelayed(usize),
+    /// A voter restarts with its state folder as it was.
     Restart(usize),
-    /// with none, or with an older copy of it.
-    Wipe(usize, bool),
-    /// One that has to learn hears another.
-    Learn(usize, usize),
+    /// A voter restarts with no state folder, or with an older copy (true).
+    LoseFolder(usize, bool),
+    /// A recovering voter receives a recovery response from another voter.
+    Recover(usize, usize),
 }
 
 impl DutyWorld {
@@ -136,8 +143,8 @@
         VoterSet::new(0..VOTERS)
     }
 
-    fn life(voter: usize, again: u64) -> ProcessId {
-        ProcessId { member: voter as u64, instance: again }
+    fn process(voter: usize, run: u64) -> ProcessId {
+        ProcessId { member: voter as u64, instance: run }
     }
 }
 
@@ -148,10 +155,10 @@
     fn initial_states(&self) -> Vec<DutyState> {
         let lease = self.lease();
         let voter = |n: usize| {
-            // All have voted for long, and nothing was decided.
-            let mut voter = Voter::new(NOW, Self::life(n, 0), BOOT, lease, Some(StoredVoter::default()));
+            // All voters are past recovery, and nothing has been decided.
+            let mut voter = Voter::new(NOW, Self::process(n, 0), BOOT, lease, Some(StoredVoter::default()));
             let (nonce, _) = voter.tick(NOW, lease, &Self::electorate());
-            let says = VoterFlags { voting: true, fresh: false };
+            let flags = VoterFlags { voting: true, fresh: false };
             let other = (n as u64 + 1) % VOTERS;
             for other in [other, (other + 1) % VOTERS] {
                 let nonce = nonce.unwrap_or(0);
@@ -161,7 +168,7 @@
                     &Self::electorate(),
                     other,
                     nonce,
-                    says,
+                    flags,
                     (None, 0),
                     None,
                     (0, 1),
@@ -169,61 +176,66 @@
             }
             voter
         };
-        let seeker = |n: u64| Proposer::new(NOW, ProcessId { member: n, instance: 10 + n });
-        let begun = DutyState {
+        let proposer = |n: u64| Proposer::new(NOW, ProcessId { member: n, instance: 10 + n });
+        let initial = DutyState {
             voters: (0..VOTERS as usize).map(voter).collect(),
-            seekers: (0..2).map(seeker).collect(),
-            asks: vec![None; 2],
-            stray: None,
-            left: (self.restarts, self.wipes, self.strays, self.renewals),
+            proposers: (0..2).map(proposer).collect(),
+            requests: vec![None; 2],
+            delayed: None,
+            remaining: (self.restarts, self.folder_losses, self.delayed_messages, self.renewals),
             decided: BTreeMap::new(),
             token: 0,
-            broken: None,
+            violation: None,
         };
-        // The first candidate has been promised its ballot by two or by all: which two is the same but for their names.
-        [0b011, 0b111].map(|mask| self.apply(&begun, &DutyStep::Begin(0, mask))).into()
+        // The first candidate has the promises of two or of all three voters. Which two does not matter, by
+        // symmetry.
+        [0b011, 0b111].map(|mask| self.apply(&initial, &DutyStep::Prepare(0, mask))).into()
     }
 
     fn steps(&self, s: &DutyState) -> Vec<DutyStep> {
-        let mut steps = vec![DutyStep::Time];
-        for by in 0..2 {
-            let term = s.seekers[by].term();
-            // Whoever prepares or holds goes on with that until it is over: to begin anew then only loses.
-            let free = term.is_none_or(|t| t.is_expired(NOW)) && (by == 1 || self.ballots > 2);
-            if free && s.seekers[by].highest_number() < self.ballots {
-                steps.extend((1..8).map(|mask| DutyStep::Begin(by, mask)));
-            }
-            if s.asks[by].is_some() {
+        let mut steps = vec![DutyStep::Tick];
+        for candidate in 0..2 {
+            let term = s.proposers[candidate].term();
+            // A candidate that prepares or holds continues until its term has expired: a new ballot could
+            // only lose the term.
+            let may_prepare =
+                term.is_none_or(|t| t.is_expired(NOW)) && (candidate == 1 || self.max_ballot > 2);
+            if may_prepare && s.proposers[candidate].highest_number() < self.max_ballot {
+                steps.extend((1..8).map(|mask| DutyStep::Prepare(candidate, mask)));
+            }
+            if s.requests[candidate].is_some() {
                 for voter in 0..VOTERS as usize {
-                    steps.push(DutyStep::Hear { by, voter, comes: true });
-                    steps.push(DutyStep::Hear { by, voter, comes: false });
+                    steps.push(DutyStep::Deliver { candidate, voter, answered: true });
+                    steps.push(DutyStep::Deliver { candidate, voter, answered: false });
                 }
-                if s.left.2 > 0 && s.stray.is_none() {
-                    steps.push(DutyStep::Keep(by));
+                if s.remaining.2 > 0 && s.delayed.is_none() {
+                    steps.push(DutyStep::Delay(candidate));
                 }
             }
             if let Some(term) = term.filter(|t| t.is_held(NOW)) {
-                steps.push(DutyStep::Give(by));
-                if s.left.3 > 0 {
-                    steps.push(DutyStep::Renew(by));
+                steps.push(DutyStep::Release(candidate));
+                if s.remaining.3 > 0 {
+                    steps.push(DutyStep::Renew(candidate));
                 }
-                if term.decided().is_some_and(|post| post.step < self.steps) {
-                    steps.push(DutyStep::Step(by));
+                if term.decided().is_some_and(|value| value.step < self.max_step) {
+                    steps.push(DutyStep::RecordStep(candidate));
                 }
             }
         }
         for voter in 0..VOTERS as usize {
-            if s.stray.is_some() {
-                steps.push(DutyStep::Stray(voter));
+            if s.delayed.is_some() {
+                steps.push(DutyStep::DeliverDelayed(voter));
             }
-            if s.left.0 > 0 {
+            if s.remaining.0 > 0 {
                 steps.push(DutyStep::Restart(voter));
             }
-            if s.left.1 > 0 {
-                steps.extend([DutyStep::Wipe(voter, false), DutyStep::Wipe(voter, true)]);
+            if s.remaining.1 > 0 {
+                steps.extend([DutyStep::LoseFolder(voter, false), DutyStep::LoseFolder(voter, true)]);
             }
             if !s.voters[voter].is_voting() {
-                steps.extend((0..VOTERS as usize).filter(|o| *o != voter).map(|o| DutyStep::Learn(voter, o)));
+                steps.extend(
+                    (0..VOTERS as usize).filter(|o| *o != voter).map(|o| DutyStep::Recover(voter, o)),
+                );
             }
         }
         steps
@@ -232,172 +244,193 @@
     fn apply(&self, state: &DutyState, step: &DutyStep) -> DutyState {
         let mut s = state.clone();
         let (lease, electorate) = (self.lease(), Self::electorate());
-        let setting = ProposerContext { lease, voters: &electorate, rank: Some(0), jitter: 0 };
+        let context = ProposerContext { lease, voters: &electorate, rank: Some(0), jitter: 0 };
         match *step {
-            DutyStep::Time => {
-                s.seekers.iter_mut().for_each(|k| *k = k.rebased(NOW, self.rates[0], lease));
+            DutyStep::Tick => {
+                s.proposers.iter_mut().for_each(|k| *k = k.rebased(NOW, self.rates[0], lease));
                 s.voters.iter_mut().for_each(|v| *v = v.rebased(NOW, self.rates[1], lease));
-                for by in 0..2 {
-                    // A question whose time is up is asked no more.
-                    let over = s.seekers[by].term().is_some_and(|t| t.is_expired(NOW));
-                    if over || s.seekers[by].term().is_none() {
-                        s.asks[by] = None;
+                for candidate in 0..2 {
+                    // A request is dropped when its term has expired.
+                    let expired = s.proposers[candidate].term().is_some_and(|t| t.is_expired(NOW));
+                    if expired || s.proposers[candidate].term().is_none() {
+                        s.requests[candidate] = None;
                     }
                 }
                 for voter in &mut s.voters {
                     voter.tick(NOW, lease, &electorate);
                 }
             }
-            DutyStep::Begin(by, mask) => {
-                // One whose term is over is at rest first.
-                let (me, highest) = (
-                    ProcessId { member: by as u64, instance: 10 + by as u64 },
-                    s.seekers[by].highest_number(),
+            DutyStep::Prepare(candidate, mask) => {
+                // A candidate without a valid term starts from the idle state.
+                let (local_id, highest) = (
+                    ProcessId { member: candidate as u64, instance: 10 + candidate as u64 },
+                    s.proposers[candidate].highest_number(),
                 );
-                let mut seeker = Proposer::new(NOW, me);
-                let ballot = yarrowhill_duties::Ballot { number: highest, proposer: me };
-                seeker.handle_refusal(NOW, &setting, ballot, ballot, None);
-                let word = Word::of(seeker.prepare(NOW));
-                s.seekers[by] = seeker;
-                s.asks[by] = None;
+                let mut proposer = Proposer::new(NOW, local_id);
+                let ballot = yarrowhill_duties::Ballot { number: highest, proposer: local_id };
+                proposer.handle_refusal(NOW, &context, ballot, ballot, None);
+                let request = Request::from_voter_request(proposer.prepare(NOW));
+                s.proposers[candidate] = proposer;
+                s.requests[candidate] = None;
                 for voter in (0..VOTERS as usize).filter(|v| mask >> v & 1 == 1) {
-                    word.iter().for_each(|word| hear(&mut s, &setting, by, voter, word, true));
+                    request
+                        .iter()
+                        .for_each(|request| deliver(&mut s, &context, candidate, voter, request, true));
                 }
             }
-            DutyStep::Hear { by, voter, comes } => {
-                if let Some((_, word)) = s.asks[by].clone() {
-                    hear(&mut s, &setting, by, voter, &word, comes);
+            DutyStep::Deliver { candidate, voter, answered } => {
+                if let Some((_, request)) = s.requests[candidate].clone() {
+                    deliver(&mut s, &context, candidate, voter, &request, answered);
                 }
             }
-            DutyStep::Renew(by) => {
-                s.left.3 -= 1;
-                if let Some(write) = s.seekers[by].term_mut().and_then(|term| term.tick(NOW, lease)) {
-                    s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
+            DutyStep::Renew(candidate) => {
+                s.remaining.3 -= 1;
+                if let Some(write) = s.proposers[candidate].term_mut().and_then(|term| term.tick(NOW, lease))
+                {
+                    s.requests[candidate] = Request::from_voter_request(VoterRequest::Accept(write))
+                        .map(|w| (candidate as u64, w));
                 }
             }
-            DutyStep::Step(by) => {
-                if let Some(term) = s.seekers[by].term_mut() {
+            DutyStep::RecordStep(candidate) => {
+                if let Some(term) = s.proposers[candidate].term_mut() {
                     let token = term.token();
-                    if let Ok((_, write)) = term.record_step(NOW, lease, token, vec![token as u8, by as u8]) {
-                        s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
+                    if let Ok((_, write)) =
+                        term.record_step(NOW, lease, token, vec![token as u8, candidate as u8])
+                    {
+                        s.requests[candidate] = Request::from_voter_request(VoterRequest::Accept(write))
+                            .map(|w| (candidate as u64, w));
                     }
                 }
             }
-            DutyStep::Give(by) => {
-                let write = s.seekers[by].term_mut().and_then(|term| term.release(NOW, lease, Reason::Asked));
+            DutyStep::Release(candidate) => {
+                let write = s.proposers[candidate]
+                    .term_mut()
+                    .and_then(|term| term.release(NOW, lease, Reason::Asked));
                 if let Some(write) = write {
-                    s.asks[by] = Word::of(VoterRequest::Accept(write)).map(|w| (by as u64, w));
+                    s.requests[candidate] = Request::from_voter_request(VoterRequest::Accept(write))
+                        .map(|w| (candidate as u64, w));
                 }
             }
-            DutyStep::Keep(by) => {
-                s.stray.clone_from(&s.asks[by]);
-                s.left.2 -= 1;
+            DutyStep::Delay(candidate) => {
+                s.delayed.clone_from(&s.requests[candidate]);
+                s.remaining.2 -= 1;
             }
-            DutyStep::Stray(voter) => {
-                if let Some((by, word)) = s.stray.clone() {
-                    hear(&mut s, &setting, by as usize, voter, &word, true);
+            DutyStep::DeliverDelayed(voter) => {
+                if let Some((candidate, request)) = s.delayed.clone() {
+                    deliver(&mut s, &context, candidate as usize, voter, &request, true);
                 }
             }
             DutyStep::Restart(voter) => {
-                s.left.0 -= 1;
-                // Of how often it wrote nothing is said here: boots alone tell lives apart in this world.
+                s.remaining.0 -= 1;
+                // The write count is left at zero: in this model the boot number alone identifies an
+                // instance.
                 let found = Some(StoredVoter { write_count: 0, registers: s.voters[voter].registers() });
-                s.voters[voter] = Voter::new(NOW, Self::life(voter, 1), BOOT + 1, lease, found);
+                s.voters[voter] = Voter::new(NOW, Self::process(voter, 1), BOOT + 1, lease, found);
             }
-            DutyStep::Wipe(voter, copy) => {
-                s.left.1 -= 1;
-                // A copy of before anything was promised, or nothing at all.
+            DutyStep::LoseFolder(voter, copy) => {
+                s.remaining.1 -= 1;
+                // A copy from before any promise, or nothing at all.
                 let found = copy.then(StoredVoter::default);
-                s.voters[voter] = Voter::new(NOW, Self::life(voter, 2), BOOT, lease, found);
+                s.voters[voter] = Voter::new(NOW, Self::process(voter, 2), BOOT, lease, found);
             }
-            DutyStep::Learn(voter, from) => {
-                let of = s.voters[from].flags();
+            DutyStep::Recover(voter, from) => {
+                let flags = s.voters[from].flags();
                 let register = s.voters[from].registers().remove(&DUTY);
-                let said = register.as_ref().map(|r| (DUTY, r));
-                let one = &mut s.voters[voter];
-                let (nonce, _) = one.tick(NOW, lease, &electorate);
-                // Asked just now, or a little before.
-                let nonce = nonce.unwrap_or_else(|| one.nonce());
-                // All remember the last life of each: that of a copy is another one.
+                let known = register.as_ref().map(|r| (DUTY, r));
+                let learner = &mut s.voters[voter];
+                let (nonce, _) = learner.tick(NOW, lease, &electorate);
+                // The nonce of the request that was just sent, or of the one before.
+                let nonce = nonce.unwrap_or_else(|| learner.nonce());
+                // Every voter remembers the last instance of the others, which differs from one started from
+                // a copy.
                 let remembers = (Some((BOOT, 0)), 0);
-                one.handle_recovery_response(
+                learner.handle_recovery_response(
                     NOW,
                     lease,
                     &electorate,
                     from as u64,
                     nonce,
-                    of,
+                    flags,
                     remembers,
-                    said,
+                    known,
                     (0, 1),
                 );
             }
         }
-        // Set back to one reading of all clocks.
+        // Rebases all clocks to the same reading, which keeps the state space finite.
         s.voters.iter_mut().for_each(|v| *v = v.rebased(NOW, 0, lease));
-        s.seekers.iter_mut().for_each(|k| *k = k.rebased(NOW, 0, lease));
+        s.proposers.iter_mut().for_each(|k| *k = k.rebased(NOW, 0, lease));
         s
     }
 
     fn violation(&self, s: &DutyState) -> Option<String> {
-        if let Some(broken) = s.broken {
-            return Some(broken.to_owned());
+        if let Some(violation) = s.violation {
+            return Some(violation.to_owned());
         }
-        let holds = |by: usize| s.seekers[by].term().is_some_and(|t| t.is_held(NOW));
-        (holds(0) && holds(1)).then(|| "two hold it at once".to_owned())
+        let holds = |candidate: usize| s.proposers[candidate].term().is_some_and(|t| t.is_held(NOW));
+        (holds(0) && holds(1)).then(|| "both candidates hold the duty at once".to_owned())
     }
 }
 
-fn hear(s: &mut DutyState, setting: &ProposerContext<'_>, by: usize, voter: usize, word: &Word, comes: bool) {
-    let Some(kept): Option<&mut LeasedRegister> = s.voters[voter].register_mut(DUTY) else { return };
-    let ruling = match word {
-        Word::Prepare(ballot) => kept.prepare(NOW, *ballot),
-        Word::Accept { ballot, seq, value } => kept.accept(NOW, setting.lease, *ballot, *seq, value.clone()),
+fn deliver(
+    s: &mut DutyState,
+    context: &ProposerContext<'_>,
+    candidate: usize,
+    voter: usize,
+    request: &Request,
+    answered: bool,
+) {
+    let Some(register): Option<&mut LeasedRegister> = s.voters[voter].register_mut(DUTY) else { return };
+    let reply = match request {
+        Request::Prepare(ballot) => register.prepare(NOW, *ballot),
+        Request::Accept { ballot, seq, value } => {
+            register.accept(NOW, context.lease, *ballot, *seq, value.clone())
+        }
     };
-    if !comes {
+    if !answered {
         return;
     }
-    let seeker = &mut s.seekers[by];
-    let mut told = Vec::new();
-    let mut ask = None;
-    match ruling.response {
+    let proposer = &mut s.proposers[candidate];
+    let mut decisions = Vec::new();
+    let mut request = None;
+    match reply.response {
         yarrowhill_duties::Response::Promise { ballot, accepted } => {
-            ask = seeker.handle_promise(NOW, setting, voter as u64, ballot, accepted);
+            request = proposer.handle_promise(NOW, context, voter as u64, ballot, accepted);
         }
         yarrowhill_duties::Response::Accepted { ballot, seq } => {
-            told = seeker.handle_accepted(NOW, setting, voter as u64, ballot, seq);
+            decisions = proposer.handle_accepted(NOW, context, voter as u64, ballot, seq);
         }
         yarrowhill_duties::Response::Refused { promised, .. } => {
-            // What it hears of higher numbers is of use to it, and to nothing that must hold.
+            // The higher ballot number only saves the candidate an attempt; no property depends on it.
             let _ = promised;
         }
     }
-    if let Some(ask) = ask {
-        s.asks[by] = Word::of(ask).map(|w| (by as u64, w));
+    if let Some(request) = request {
+        s.requests[candidate] = Request::from_voter_request(request).map(|w| (candidate as u64, w));
     }
-    for decided in told {
-        let post = seeker.term().and_then(|t| t.decided()).cloned().unwrap_or_default();
-        match decided {
+    for decision in decisions {
+        let value = proposer.term().and_then(|t| t.decided()).cloned().unwrap_or_default();
+        match decision {
             Decision::Acquired => {
                 let done = s.decided.keys().next_back().copied().unwrap_or(0);
-                if post.step < done || s.decided.get(&post.step).is_some_and(|p| *p != post.progress) {
-                    s.broken = Some("one takes it without what was done before");
+                if value.step < done || s.decided.get(&value.step).is_some_and(|p| *p != value.progress) {
+                    s.violation = Some("a holder acquired the duty without the steps decided before");
                 }
-                if post.token <= s.token {
-                    s.broken = Some("a token is used again");
+                if value.token <= s.token {
+                    s.violation = Some("a token was used again");
                 }
-                s.token = post.token;
+                s.token = value.token;
             }
             Decision::Step(step) => {
-                let before = s.decided.insert(step, post.progress.clone());
-                if before.is_some_and(|before| before != post.progress) {
-                    s.broken = Some("a step is decided twice");
+                let before = s.decided.insert(step, value.progress.clone());
+                if before.is_some_and(|before| before != value.progress) {
+                    s.violation = Some("a step was decided twice with different progress");
                 }
             }
             Decision::Released(_) => {}
         }
-        if matches!(decided, Decision::Released(_)) {
-            s.asks[by] = None;
+        if matches!(decision, Decision::Released(_)) {
+            s.requests[candidate] = None;
         }
     }
 }
@@ -406,45 +439,45 @@
 
 const PERIOD: Micros = 1_000_000;
 const DRIFT: f64 = 0.01;
-/// A term lasts so long without a word (microseconds).
-const HOLD: Micros = 3 * PERIOD;
-/// How fine the world is looked at (microseconds).
-const LOOK: Micros = PERIOD / 20;
-/// All is mended at the end of the troubles, and somebody holds each duty after so long: a voter's silence, a rank's patience, a
-/// term, and pauses after tries that came to nothing.
-const HELD_AGAIN: Micros = 14 * HOLD;
-
-/// A folder that outlasts the member.
+/// Duration of a lease without renewal (microseconds).
+const TERM: Micros = 3 * PERIOD;
+/// Interval between property checks (microseconds).
+const CHECK_INTERVAL: Micros = PERIOD / 20;
+/// Maximum time from the repair of all faults until every duty has a holder again (microseconds): a restarted
+/// voter's waiting time, the delay by rank, a lease, and the back-off after failed attempts.
+const MAX_REACQUISITION: Micros = 14 * TERM;
+
+/// A member's state folder, which survives restarts.
 #[derive(Clone, Debug, Default)]
 struct Disk {
-    /// What was written, in order.
+    /// States in the order in which they were written.
     written: Vec<StoredVoter>,
     full: bool,
 }
 
-/// What all did, as a ledger that is judged.
+/// Log of what all members did with the duties, and a violation if one was found in it.
 #[derive(Clone, Debug, Default)]
-struct Book {
-    /// Steps of each duty that a holder was told of: under which token, and what was done.
+struct DutyLog {
+    /// Decided steps by duty and number, with the token and the recorded progress.
     steps: BTreeMap<(u64, u64), (u64, Vec<u8>)>,
-    /// The highest token under which each duty was taken, and by whom.
-    taken: BTreeMap<u64, (u64, u64)>,
-    broken: Option<String>,
+    /// Newest token under which each duty was acquired, and the member that acquired it.
+    acquired: BTreeMap<u64, (u64, u64)>,
+    violation: Option<String>,
     terms: u64,
 }
 
-struct Holder {
+struct DutyMember {
     duties: Duties,
     disk: Disk,
-    book: Rc<RefCell<Book>>,
-    me: u64,
-    /// Works: writes a step of progress whenever it holds and the last one is decided.
-    pending: BTreeMap<u64, Vec<u8>>,
-    next_work: Micros,
+    log: Rc<RefCell<DutyLog>>,
+    local_id: u64,
+    /// Progress of the steps that were recorded and are not decided yet, by duty.
+    pending_steps: BTreeMap<u64, Vec<u8>>,
+    next_step: Micros,
     out: Vec<(usize, Envelope)>,
 }
 
-impl Holder {
+impl DutyMember {
     fn collect(&mut self, now: Micros) {
         loop {
             let outputs = self.duties.take_outputs();
@@ -460,64 +493,71 @@
                         self.duties.persisted();
                     }
                     Output::Erase => self.disk.written.clear(),
-                    Output::Send { to, envelope: letter } if to == self.me => own.push(letter),
-                    Output::Send { to, envelope: letter } => self.out.push((to as usize, letter)),
-                    Output::Event(event) => self.heard(event),
+                    Output::Send { to, envelope } if to == self.local_id => own.push(envelope),
+                    Output::Send { to, envelope } => self.out.push((to as usize, envelope)),
+                    Output::Event(event) => self.handle_event(event),
                 }
             }
-            own.into_iter().for_each(|letter| self.duties.handle(now, self.me, letter));
+            own.into_iter().for_each(|envelope| self.duties.handle(now, self.local_id, envelope));
         }
     }
 
-    fn heard(&mut self, event: Event) {
-        let mut book = self.book.borrow_mut();
+    fn handle_event(&mut self, event: Event) {
+        let mut log = self.log.borrow_mut();
         match event {
             Event::Acquired { duty, token, step } => {
-                book.terms += 1;
-                let last = book.taken.insert(duty, (token, self.me));
-                if let Some((before, who)) = last.filter(|(before, _)| *before >= token) {
-                    book.broken = Some(format!("{} takes under {token} after {who} under {before}", self.me));
+                log.terms += 1;
+                let last = log.acquired.insert(duty, (token, self.local_id));
+                if let Some((before, other)) = last.filter(|(before, _)| *before >= token) {
+                    log.violation = Some(format!(
+                        "member {} acquired a duty under token {token} after member {other} under {before}",
+                        self.local_id
+                    ));
                 }
-                let done = book.steps.keys().filter(|(d, _)| *d == duty).map(|(_, s)| *s).max().unwrap_or(0);
+                let done = log.steps.keys().filter(|(d, _)| *d == duty).map(|(_, s)| *s).max().unwrap_or(0);
                 if step < done {
-                    book.broken = Some(format!("{} goes on from step {step}, and {done} was done", self.me));
+                    log.violation = Some(format!(
+                        "member {} continues from step {step}, but step {done} is decided",
+                        self.local_id
+                    ));
                 }
-                self.pending.remove(&duty);
+                self.pending_steps.remove(&duty);
             }
             Event::StepDecided { duty, token, step } => {
-                let done = self.pending.remove(&duty).unwrap_or_default();
-                let before = book.steps.insert((duty, step), (token, done.clone()));
+                let done = self.pending_steps.remove(&duty).unwrap_or_default();
+                let before = log.steps.insert((duty, step), (token, done.clone()));
                 if let Some((other, _)) = before.filter(|(other, what)| *other != token || *what != done) {
-                    book.broken = Some(format!("step {step} is decided under {other} and {token}"));
+                    log.violation =
+                        Some(format!("step {step} is decided under the tokens {other} and {token}"));
                 }
             }
             _ => {}
         }
     }
 
-    fn work(&mut self, now: Micros) {
-        if now < self.next_work {
+    fn record_steps(&mut self, now: Micros) {
+        if now < self.next_step {
             return;
         }
-        self.next_work = now + PERIOD / 4;
+        self.next_step = now + PERIOD / 4;
         let ids: Vec<u64> = self.duties.duties().map(|(id, _)| id).collect();
         for duty in ids {
             let Some(held) = self.duties.held(now, duty) else { continue };
             let done = [held.token.to_le_bytes(), (held.step + 1).to_le_bytes()].concat();
             if self.duties.record_step(now, &held, done.clone()).is_ok() {
-                self.pending.insert(duty, done);
+                self.pending_steps.insert(duty, done);
             }
         }
     }
 }
 
-impl Member for Holder {
+impl Member for DutyMember {
     type Packet = Envelope;
 
     fn tick(&mut self, now: Micros) {
         self.duties.tick(now);
         self.collect(now);
-        self.work(now);
+        self.record_steps(now);
         self.collect(now);
     }
 
@@ -531,50 +571,50 @@
     }
 
     fn next_wake(&self) -> Micros {
-        self.duties.next_wake().min(self.next_work)
+        self.duties.next_wake().min(self.next_step)
     }
 }
 
-fn size(letter: &Envelope) -> usize {
-    yarrowhill_fleet::encode_duty(letter).map_or(usize::MAX, |bytes| bytes.len())
+fn size(envelope: &Envelope) -> usize {
+    yarrowhill_fleet::encode_duty(envelope).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-struct Scene {
-    fleet: Fleet<Holder>,
+struct DutySimulation {
+    fleet: Fleet<DutyMember>,
     disks: Vec<Disk>,
-    book: Rc<RefCell<Book>>,
-    names: Vec<Duty>,
+    log: Rc<RefCell<DutyLog>>,
+    duties: Vec<Duty>,
     voters: VoterSet,
     boots: Vec<u64>,
-    lives: Vec<u64>,
-    /// When each started last, and when it ended (of the world).
-    started: Vec<Micros>,
-    ended: Vec<Micros>,
-    /// Those that have an older copy of their folder.
-    copied: BTreeSet<usize>,
+    instances: Vec<u64>,
+    /// Virtual time of each member's last start, and of the last end of each.
+    started_at: Vec<Micros>,
+    ended_at: Vec<Micros>,
+    /// Members that were started from an older copy of their state folder and have not voted since.
+    stale_copies: BTreeSet<usize>,
     size: usize,
 }
 
-impl Scene {
+impl DutySimulation {
     fn new(members: usize, seed: u64, duties: usize) -> Self {
         let mut fleet = Fleet::new(seed, Links::default(), size);
         for n in 0..members {
             let rate = 1.0 + DRIFT * (2.0 * n as f64 / (members.max(2) - 1) as f64 - 1.0);
             fleet.add_slot(Clock { offset: n as u64 * 1_000_003 + 10_000_000, rate });
         }
-        let electors = if members <= 7 { members } else { 7 };
-        Scene {
+        let voter_count = if members <= 7 { members } else { 7 };
+        DutySimulation {
             fleet,
             disks: vec![Disk::default(); members],
-            book: Rc::default(),
-            names: (0..duties).map(|n| Duty::new(&format!("duty {n}"))).collect(),
-            // Spread over the numbers.
-            voters: VoterSet::new((0..electors).map(|n| (n * members / electors) as u64)),
+            log: Rc::default(),
+            duties: (0..duties).map(|n| Duty::new(&format!("duty {n}"))).collect(),
+            // Voters are spread evenly over the slots.
+            voters: VoterSet::new((0..voter_count).map(|n| (n * members / voter_count) as u64)),
             boots: vec![0; members],
-            lives: vec![0; members],
-            started: vec![0; members],
-            ended: vec![0; members],
-            copied: BTreeSet::new(),
+            instances: vec![0; members],
+            started_at: vec![0; members],
+            ended_at: vec![0; members],
+            stale_copies: BTreeSet::new(),
             size: members,
         }
     }
@@ -583,69 +623,73 @@
         let mut disk = std::mem::take(&mut self.disks[n]);
         disk.full = false;
         let now = self.fleet.local_time(n);
-        self.started[n] = self.fleet.now();
+        self.started_at[n] = self.fleet.now();
         self.boots[n] += 1;
-        self.lives[n] += 1;
-        let me = ProcessId { member: n as u64, instance: self.lives[n] };
-        let lease = Lease::new(HOLD, DRIFT);
+        self.instances[n] += 1;
+        let local_id = ProcessId { member: n as u64, instance: self.instances[n] };
+        let lease = Lease::new(TERM, DRIFT);
         let found = disk.written.last().cloned();
-        let names = self.names.clone();
-        let mut duties = Duties::new(now, me, self.boots[n], lease, found, names, self.voters.clone());
+        let declared = self.duties.clone();
+        let mut duties =
+            Duties::new(now, local_id, self.boots[n], lease, found, declared, self.voters.clone());
         for other in 0..self.size {
-            duties.record_instance(other as u64, self.boots[other], self.lives[other]);
+            duties.record_instance(other as u64, self.boots[other], self.instances[other]);
         }
-        let book = self.book.clone();
-        let holder = Holder {
+        let log = self.log.clone();
+        let member = DutyMember {
             duties,
             disk,
-            book,
-            me: n as u64,
-            pending: BTreeMap::new(),
-            next_work: now,
+            log,
+            local_id: n as u64,
+            pending_steps: BTreeMap::new(),
+            next_step: now,
             out: Vec::new(),
         };
-        self.fleet.start(n, holder);
-        // What the others hear of it by membership; of a copy it is what they heard of the last life.
-        let (boot, life) = (self.boots[n], self.lives[n]);
+        self.fleet.start(n, member);
+        // Membership reports the new instance to the others. For a member with an older copy they know its
+        // last instance.
+        let (boot, instance) = (self.boots[n], self.instances[n]);
         for other in 0..self.size {
             self.fleet
                 .member_mut(other)
                 .into_iter()
-                .for_each(|m| m.duties.record_instance(n as u64, boot, life));
+                .for_each(|m| m.duties.record_instance(n as u64, boot, instance));
         }
     }
 
     fn kill(&mut self, n: usize) {
         if let Some(member) = self.fleet.member(n) {
             self.disks[n] = member.disk.clone();
-            // One that was started from a copy and has not voted since ended when it last did.
+            // A member that was started from a copy and has not voted since counts as ended when it last
+            // voted.
             if member.duties.vote_status() != yarrowhill_duties::VoteStatus::Checking {
-                self.ended[n] = self.fleet.now();
-                self.copied.remove(&n);
+                self.ended_at[n] = self.fleet.now();
+                self.stale_copies.remove(&n);
             }
         }
         self.fleet.inject(&ProcessFault::Kill(n));
     }
 
-    /// Who is there, as all are told.
-    fn see(&mut self, of: impl Fn(usize) -> Vec<usize>) {
+    /// Reports the live members, as given for each slot, to every member.
+    fn set_views(&mut self, of: impl Fn(usize) -> Vec<usize>) {
         for n in 0..self.size {
-            let there = of(n);
-            let candidates = there
+            let live = of(n);
+            let candidates = live
                 .iter()
                 .map(|m| Candidate { member: *m as u64, zone: String::new(), degraded: false })
                 .collect();
-            let may = self.voters.is_majority(|id| there.contains(&(id as usize)));
+            let may_hold = self.voters.is_majority(|id| live.contains(&(id as usize)));
             let now = self.fleet.local_time(n);
             if let Some(member) = self.fleet.member_mut(n) {
-                member.duties.set_candidates(now, candidates, may);
+                member.duties.set_candidates(now, candidates, may_hold);
             }
         }
     }
 
-    /// Whether a voter lives that has run since before another last voted, and is not stopped: it remembers.
-    fn witness(&self, of: usize) -> bool {
-        let runs = |n: usize| self.started[n] < self.ended[of] && !self.fleet.is_stopped(n);
+    /// Returns whether a running voter exists that has run since before member `of` last voted, and so
+    /// remembers its instance.
+    fn has_witness(&self, of: usize) -> bool {
+        let runs = |n: usize| self.started_at[n] < self.ended_at[of] && !self.fleet.is_stopped(n);
         self.voters
             .current
             .iter()
@@ -654,7 +698,7 @@
     }
 
     fn holders(&self, duty: u64) -> Vec<(usize, u64)> {
-        // Also those that are stopped: at this moment they could wake in the midst of an act.
+        // Stalled members are included: they could wake now in the middle of a protected action.
         let held = |n: usize| {
             let member = self.fleet.member(n)?;
             Some((n, member.duties.held(self.fleet.local_time(n), duty)?.token))
@@ -662,259 +706,274 @@
         (0..self.size).filter_map(held).collect()
     }
 
-    fn look(&self) -> Result<(), Breach> {
+    fn check(&self) -> Result<(), Violation> {
         let at = self.fleet.now();
-        for duty in &self.names {
+        for duty in &self.duties {
             let holders = self.holders(duty.id());
             if holders.len() > 1 {
-                return Err(Breach { at, what: format!("{} is held by {holders:?}", duty.name) });
+                return Err(Violation {
+                    at,
+                    description: format!(
+                        "{} is held by several members (member, token): {holders:?}",
+                        duty.name
+                    ),
+                });
             }
         }
-        self.book.borrow().broken.clone().map_or(Ok(()), |what| Err(Breach { at, what }))
+        self.log.borrow().violation.clone().map_or(Ok(()), |description| Err(Violation { at, description }))
     }
 
-    fn run_until(&mut self, end: Micros) -> Result<(), Breach> {
+    fn run_until(&mut self, end: Micros) -> Result<(), Violation> {
         while self.fleet.now() < end {
-            let next = (self.fleet.now() + LOOK).min(end);
+            let next = (self.fleet.now() + CHECK_INTERVAL).min(end);
             self.fleet.run_until(next);
-            self.look()?;
+            self.check()?;
         }
         Ok(())
     }
 }
 
-/// Plays the schedule of a seed: cuts, loss, stops, deaths, starts with every kind of folder, disks that are full, views that
-/// disagree, wishes of operators. Nobody holds what another holds, tokens grow, no step is lost or done twice; and when all is
-/// mended every duty is held again.
+/// Runs the fault schedule of a seed: cut links, loss, stalls, deaths, restarts with every kind of state
+/// folder, full disks, views that disagree, operator requests. Checks that a duty never has two holders, that
+/// tokens grow, that no step is lost or decided twice, and that every duty has a holder again after all
+/// faults are repaired.
 ///
 /// # Errors
 ///
-/// A property that does not hold.
-pub fn play_duties(seed: u64) -> Result<(), Breach> {
+/// Returns the first property that does not hold.
+pub fn run_duties_schedule(seed: u64) -> Result<(), Violation> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xd07);
     let members = [3, 3, 5, 7, 9][rng.random_range(0..5)];
-    let mut scene = Scene::new(members, seed, 2);
+    let mut sim = DutySimulation::new(members, seed, 2);
     let all: Vec<usize> = (0..members).collect();
-    (0..members).for_each(|n| scene.start(n));
-    scene.see(|_| all.clone());
-    let voters: Vec<usize> = scene.voters.current.iter().map(|id| *id as usize).collect();
-    // Voters that lost their folder and may not have learnt yet: fewer than a majority at a time, as is assumed.
-    let mut forgot: BTreeSet<usize> = BTreeSet::new();
-    scene.run_until(6 * HOLD)?;
-    let trouble = scene.fleet.now() + 60 * PERIOD;
-    while scene.fleet.now() < trouble {
-        let one = rng.random_range(0..members);
-        forgot.retain(|n| {
-            scene
-                .fleet
+    (0..members).for_each(|n| sim.start(n));
+    sim.set_views(|_| all.clone());
+    let voters: Vec<usize> = sim.voters.current.iter().map(|id| *id as usize).collect();
+    // Voters that lost their folder and may not have recovered yet. The assumptions allow less than a
+    // majority of them at a time.
+    let mut unrecovered: BTreeSet<usize> = BTreeSet::new();
+    sim.run_until(6 * TERM)?;
+    let faults_end = sim.fleet.now() + 60 * PERIOD;
+    while sim.fleet.now() < faults_end {
+        let member = rng.random_range(0..members);
+        unrecovered.retain(|n| {
+            sim.fleet
                 .member(*n)
                 .is_none_or(|m| m.duties.vote_status() != yarrowhill_duties::VoteStatus::Voting)
         });
         match rng.random_range(0..13) {
-            0 => scene.fleet.links.partition(&all.iter().map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
-            1 => scene.fleet.links.set_cut(one, (one + 1) % members, true),
-            2 => scene.fleet.links.heal(),
+            0 => sim.fleet.links.partition(&all.iter().map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
+            1 => sim.fleet.links.set_cut(member, (member + 1) % members, true),
+            2 => sim.fleet.links.heal(),
             3 => {
                 let (loss, jitter) = (rng.random_range(0.0..0.3), rng.random_range(200..PERIOD));
-                scene.fleet.links.default = Link { loss, duplication: 0.1, delay: 100, jitter, cut: false };
-            }
-            4 | 5 => scene.fleet.inject(&ProcessFault::Stall(one, rng.random_range(HOLD / 3..4 * HOLD))),
-            6 | 7 => scene.kill(one),
-            8 if scene.fleet.member(one).is_none() => {
-                if scene.copied.contains(&one) {
-                    // Found out as is assumed, or not started.
-                    if !scene.witness(one) {
+                sim.fleet.links.default = Link { loss, duplication: 0.1, delay: 100, jitter, cut: false };
+            }
+            4 | 5 => sim.fleet.inject(&ProcessFault::Stall(member, rng.random_range(TERM / 3..4 * TERM))),
+            6 | 7 => sim.kill(member),
+            8 if sim.fleet.member(member).is_none() => {
+                if sim.stale_copies.contains(&member) {
+                    // The assumptions require a witness that detects the copy; without one, the member is not
+                    // started.
+                    if !sim.has_witness(member) {
                         continue;
                     }
-                    scene.fleet.links = Links::default();
+                    sim.fleet.links = Links::default();
                 }
-                scene.start(one);
-            }
-            9 if scene.fleet.member(one).is_none() => {
-                // An older copy, or none. A voter among the voters: not too many at once.
-                let unsure = |n: &&usize| match scene.fleet.member(**n) {
-                    Some(member) => member.duties.vote_status() != yarrowhill_duties::VoteStatus::Voting,
-                    None => forgot.contains(*n) || scene.disks[**n].written.is_empty(),
+                sim.start(member);
+            }
+            9 if sim.fleet.member(member).is_none() => {
+                // Restarts with an older copy or none. Only a minority of the voters may be without memory at
+                // once.
+                let is_unrecovered = |n: &&usize| match sim.fleet.member(**n) {
+                    Some(m) => m.duties.vote_status() != yarrowhill_duties::VoteStatus::Voting,
+                    None => unrecovered.contains(*n) || sim.disks[**n].written.is_empty(),
                 };
-                let lost = voters.iter().filter(|n| **n != one).filter(unsure).count();
-                let room = !voters.contains(&one) || (lost + 1) * 2 < voters.len();
-                let witness = scene.witness(one);
-                if room {
-                    if witness {
-                        scene.fleet.links = Links::default();
+                let lost = voters.iter().filter(|n| **n != member).filter(is_unrecovered).count();
+                let may_lose = !voters.contains(&member) || (lost + 1) * 2 < voters.len();
+                let has_witness = sim.has_witness(member);
+                if may_lose {
+                    if has_witness {
+                        sim.fleet.links = Links::default();
                     }
-                    let disk = &mut scene.disks[one].written;
-                    // A copy is found out by one that has run since before, and is heard: as is assumed.
-                    let keep =
-                        if rng.random_bool(0.5) || !witness { 0 } else { rng.random_range(0..=disk.len()) };
+                    let disk = &mut sim.disks[member].written;
+                    // An older copy is used only if a witness can reach the member and detect it, as the
+                    // assumptions require.
+                    let keep = if rng.random_bool(0.5) || !has_witness {
+                        0
+                    } else {
+                        rng.random_range(0..=disk.len())
+                    };
                     let older = keep < disk.len();
                     disk.truncate(keep);
-                    if voters.contains(&one) && older {
-                        forgot.insert(one);
+                    if voters.contains(&member) && older {
+                        unrecovered.insert(member);
                     }
                     if older && keep > 0 {
-                        scene.copied.insert(one);
-                        // It counts its boots from the copy too: as high as its last life, or lower.
-                        scene.boots[one] = scene.boots[one].saturating_sub(1);
-                        let (boot, life) = (scene.boots[one] + 1, scene.lives[one]);
+                        sim.stale_copies.insert(member);
+                        // The boot number comes from the copy too: it is equal to that of the last instance,
+                        // or lower.
+                        sim.boots[member] = sim.boots[member].saturating_sub(1);
+                        let (boot, instance) = (sim.boots[member] + 1, sim.instances[member]);
                         for n in 0..members {
-                            scene
-                                .fleet
+                            sim.fleet
                                 .member_mut(n)
                                 .into_iter()
-                                .for_each(|m| m.duties.record_instance(one as u64, boot, life));
+                                .for_each(|m| m.duties.record_instance(member as u64, boot, instance));
                         }
                     }
-                    scene.start(one);
+                    sim.start(member);
                 }
             }
             10 => {
                 let full = rng.random_bool(0.5);
-                // Whoever has nothing on disk yet is not one that lost it.
-                let some = |m: &&mut Holder| !m.disk.written.is_empty();
-                scene.fleet.member_mut(one).filter(some).into_iter().for_each(|m| m.disk.full = full);
+                // A member that has written nothing yet must not look like one that lost its folder.
+                let has_written = |m: &&mut DutyMember| !m.disk.written.is_empty();
+                sim.fleet.member_mut(member).filter(has_written).into_iter().for_each(|m| m.disk.full = full);
             }
             11 => {
                 let seeds: Vec<u64> = all.iter().map(|_| rng.random()).collect();
-                scene.see(|n| all.iter().copied().filter(|m| seeds[n] >> m & 3 != 0).collect());
+                sim.set_views(|n| all.iter().copied().filter(|m| seeds[n] >> m & 3 != 0).collect());
             }
             _ => {
-                let wish = if rng.random_bool(0.5) {
+                let request = if rng.random_bool(0.5) {
                     yarrowhill_duties::OperatorRequest::Yield
                 } else {
                     yarrowhill_duties::OperatorRequest::Pin(Some(rng.random_range(0..members) as u64))
                 };
-                let (now, name) = (scene.fleet.local_time(one), scene.names[0].name.clone());
-                scene
-                    .fleet
-                    .member_mut(one)
+                let (now, name) = (sim.fleet.local_time(member), sim.duties[0].name.clone());
+                sim.fleet
+                    .member_mut(member)
                     .into_iter()
-                    .for_each(|m| drop(m.duties.operator_request(now, &name, wish)));
+                    .for_each(|m| drop(m.duties.operator_request(now, &name, request)));
             }
         }
         let pause = if rng.random_bool(0.3) { 0 } else { rng.random_range(0..3 * PERIOD) };
-        scene.run_until(scene.fleet.now() + pause)?;
+        sim.run_until(sim.fleet.now() + pause)?;
     }
-    scene.fleet.links = Links::default();
+    sim.fleet.links = Links::default();
     for n in 0..members {
-        scene.disks[n].full = false;
-        if scene.fleet.member(n).is_none() && scene.copied.contains(&n) && !scene.witness(n) {
+        sim.disks[n].full = false;
+        if sim.fleet.member(n).is_none() && sim.stale_copies.contains(&n) && !sim.has_witness(n) {
             return Ok(());
         }
-        match scene.fleet.member_mut(n) {
+        match sim.fleet.member_mut(n) {
             Some(member) => member.disk.full = false,
-            None => scene.start(n),
+            None => sim.start(n),
         }
     }
-    scene.see(|_| all.clone());
-    // Those that are stopped wake first.
-    scene.run_until(scene.fleet.now() + 4 * HOLD)?;
-    scene.run_until(scene.fleet.now() + HELD_AGAIN)?;
-    for duty in &scene.names {
-        if scene.holders(duty.id()).is_empty() {
+    sim.set_views(|_| all.clone());
+    // Stalled members wake first.
+    sim.run_until(sim.fleet.now() + 4 * TERM)?;
+    sim.run_until(sim.fleet.now() + MAX_REACQUISITION)?;
+    for duty in &sim.duties {
+        if sim.holders(duty.id()).is_empty() {
             let votes: Vec<_> =
-                voters.iter().map(|n| scene.fleet.member(*n).map(|m| m.duties.vote_status())).collect();
-            let what = format!("nobody holds {} after all was mended; voters {votes:?}", duty.name);
-            return Err(Breach { at: scene.fleet.now(), what });
+                voters.iter().map(|n| sim.fleet.member(*n).map(|m| m.duties.vote_status())).collect();
+            let description =
+                format!("{} has no holder after the repair of all faults; voters: {votes:?}", duty.name);
+            return Err(Violation { at: sim.fleet.now(), description });
         }
     }
-    if scene.book.borrow().steps.is_empty() {
-        return Err(Breach { at: scene.fleet.now(), what: "no step was decided at all".to_owned() });
+    if sim.log.borrow().steps.is_empty() {
+        return Err(Violation {
+            at: sim.fleet.now(),
+            description: "no step was decided in the whole run".to_owned(),
+        });
     }
     Ok(())
 }
 
-/// What ends a term, to be measured.
+/// Event that ends a term in [`measure_duties`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// SIGKILL.
+pub enum TermEnd {
+    /// The holder is killed.
     Killed,
-    /// Stopped for longer than a lease.
+    /// The holder is stalled for longer than a lease.
     Stopped,
-    /// Cut off from all others.
+    /// The holder is cut off from all other members.
     Cut,
-    /// Asked to give it up.
+    /// An operator asks the holder to yield the duty.
     Asked,
 }
 
-/// How long a duty has no holder (milliseconds), and letters and bytes a second of all members at rest.
+/// Time without a holder, and the traffic of the whole fleet while nothing changes.
 #[derive(Clone, Debug)]
-pub struct DutyFigures {
-    /// Gaps.
+pub struct DutyStats {
+    /// Time for which a duty has no usable holder (milliseconds).
     pub gap: Histogram<u64>,
-    /// Letters a second, over the whole fleet, with one duty.
-    pub letters: f64,
-    /// Bytes a second.
+    /// Messages per second of the whole fleet, with one duty.
+    pub messages: f64,
+    /// Bytes per second of the whole fleet.
     pub bytes: f64,
 }
 
-/// Ends terms of one duty again and again, and measures how long nobody holds it.
-pub fn measure_duties(members: usize, ending: Ending, ends: usize, seed: u64) -> DutyFigures {
-    let mut scene = Scene::new(members, seed, 1);
+/// Ends `ends` terms of one duty, one after another, and measures the time without a holder.
+pub fn measure_duties(members: usize, term_end: TermEnd, ends: usize, seed: u64) -> DutyStats {
+    let mut sim = DutySimulation::new(members, seed, 1);
     let all: Vec<usize> = (0..members).collect();
-    (0..members).for_each(|n| scene.start(n));
-    scene.see(|_| all.clone());
-    let duty = scene.names[0].id();
-    let run = |scene: &mut Scene, span: Micros| {
-        let end = scene.fleet.now() + span;
-        while scene.fleet.now() < end {
-            let next = (scene.fleet.now() + LOOK / 5).min(end);
-            scene.fleet.run_until(next);
+    (0..members).for_each(|n| sim.start(n));
+    sim.set_views(|_| all.clone());
+    let duty = sim.duties[0].id();
+    let run = |sim: &mut DutySimulation, duration: Micros| {
+        let end = sim.fleet.now() + duration;
+        while sim.fleet.now() < end {
+            let next = (sim.fleet.now() + CHECK_INTERVAL / 5).min(end);
+            sim.fleet.run_until(next);
         }
     };
-    run(&mut scene, 8 * HOLD);
-    let before: (u64, u64) = (scene.fleet.sent.iter().sum(), scene.fleet.bytes.iter().sum());
-    run(&mut scene, 10 * HOLD);
-    let seconds = 10.0 * HOLD as f64 / 1e6;
-    let letters = (scene.fleet.sent.iter().sum::<u64>() - before.0) as f64 / seconds;
-    let bytes = (scene.fleet.bytes.iter().sum::<u64>() - before.1) as f64 / seconds;
+    run(&mut sim, 8 * TERM);
+    let before: (u64, u64) = (sim.fleet.sent.iter().sum(), sim.fleet.bytes.iter().sum());
+    run(&mut sim, 10 * TERM);
+    let seconds = 10.0 * TERM as f64 / 1e6;
+    let messages = (sim.fleet.sent.iter().sum::<u64>() - before.0) as f64 / seconds;
+    let bytes = (sim.fleet.bytes.iter().sum::<u64>() - before.1) as f64 / seconds;
     let mut gap = Histogram::new(3).unwrap_or_else(|e| unreachable!("{e}"));
     for _ in 0..ends {
-        let Some((holder, _)) = scene.holders(duty).first().copied() else {
-            run(&mut scene, HOLD);
+        let Some((holder, _)) = sim.holders(duty).first().copied() else {
+            run(&mut sim, TERM);
             continue;
         };
-        let since = scene.fleet.now();
+        let since = sim.fleet.now();
         let others: Vec<usize> = all.iter().copied().filter(|n| *n != holder).collect();
-        match ending {
-            Ending::Killed => scene.kill(holder),
-            Ending::Stopped => scene.fleet.inject(&ProcessFault::Stall(holder, 6 * HOLD)),
-            Ending::Cut => {
-                let islands: Vec<usize> = all.iter().map(|n| usize::from(*n == holder)).collect();
-                scene.fleet.links.partition(&islands);
-            }
-            Ending::Asked => {
-                let (now, name) = (scene.fleet.local_time(holder), scene.names[0].name.clone());
-                let wish = yarrowhill_duties::OperatorRequest::Yield;
-                scene
-                    .fleet
+        match term_end {
+            TermEnd::Killed => sim.kill(holder),
+            TermEnd::Stopped => sim.fleet.inject(&ProcessFault::Stall(holder, 6 * TERM)),
+            TermEnd::Cut => {
+                let groups: Vec<usize> = all.iter().map(|n| usize::from(*n == holder)).collect();
+                sim.fleet.links.partition(&groups);
+            }
+            TermEnd::Asked => {
+                let (now, name) = (sim.fleet.local_time(holder), sim.duties[0].name.clone());
+                let request = yarrowhill_duties::OperatorRequest::Yield;
+                sim.fleet
                     .member_mut(holder)
                     .into_iter()
-                    .for_each(|m| drop(m.duties.operator_request(now, &name, wish)));
+                    .for_each(|m| drop(m.duties.operator_request(now, &name, request)));
             }
         }
-        // Views follow when a lease is over: the others know by then that it is gone.
-        let mut seen = ending == Ending::Asked;
+        // The views change one lease later: by then the others have detected that the holder is gone.
+        let mut views_updated = term_end == TermEnd::Asked;
         loop {
-            run(&mut scene, LOOK / 5);
-            let now = scene.fleet.now();
-            if !seen && now >= since + HOLD {
-                seen = true;
-                scene.see(|n| if n == holder { vec![holder] } else { others.clone() });
-            }
-            let held = scene.holders(duty);
-            if held.iter().any(|(n, _)| *n != holder) || now > since + 60 * HOLD {
+            run(&mut sim, CHECK_INTERVAL / 5);
+            let now = sim.fleet.now();
+            if !views_updated && now >= since + TERM {
+                views_updated = true;
+                sim.set_views(|n| if n == holder { vec![holder] } else { others.clone() });
+            }
+            let held = sim.holders(duty);
+            if held.iter().any(|(n, _)| *n != holder) || now > since + 60 * TERM {
                 gap.record((now - since) / 1000).unwrap_or_else(|e| unreachable!("{e}"));
                 break;
             }
         }
-        scene.fleet.links.heal();
-        if scene.fleet.member(holder).is_none() {
-            scene.start(holder);
+        sim.fleet.links.heal();
+        if sim.fleet.member(holder).is_none() {
+            sim.start(holder);
         }
-        run(&mut scene, 8 * HOLD);
-        scene.see(|_| all.clone());
-        run(&mut scene, 4 * HOLD);
+        run(&mut sim, 8 * TERM);
+        sim.set_views(|_| all.clone());
+        run(&mut sim, 4 * TERM);
     }
-    DutyFigures { gap, letters, bytes }
+    DutyStats { gap, messages, bytes }
 }
--- a/crates/attack/src/lib.rs
+++ b/crates/attack/src/lib.rs
@@ -1,14 +1,15 @@
-//! Attacks the packages without I/O, clocks and chance: seeded schedules in virtual time, and every way that a small
-//! world can go. The third attack, on processes, is the rig's.
+//! Tests the deterministic packages (no I/O, no system clock, no ambient randomness) in two ways: seeded
+//! fault schedules in virtual time, and state-space search of small models. Fault injection on real processes
+//! is done by the rig.
 //!
-//! - `member`: a member of a fleet in the kernel's virtual time, with its folder
-//! - `schedule`: a seed's faults, and what must hold under them
-//! - `worlds`: small worlds of the parts that safety rests on
-//! - `rights`: rights over a fleet: a small world, schedules, figures
-//! - `returns`: a partner of all that is down and comes back cold
-//! - `duties`: duties over a fleet: a small world, schedules, figures
-//! - `measure`: figures over many members
-//! - `shares`: what members make of a limit that they divide by who is there
+//! - `member`: a simulated membership fleet with the members' state folders
+//! - `schedule`: seeded fault schedules for membership, and the properties checked under them
+//! - `worlds`: small models of the parts of membership that safety depends on
+//! - `rights`: shared limits: a small model, seeded schedules, measurements
+//! - `returns`: outage and cold return of a destination that all members call: seeded schedules, measurements
+//! - `duties`: duties: a small model, seeded schedules, measurements
+//! - `measure`: failure detection measured on large fleets
+//! - `shares`: use of a limit that is divided by the number of live members
 
 mod duties;
 mod measure;
@@ -19,11 +20,13 @@
 mod shares;
 mod worlds;
 
-pub use duties::{DutyFigures, DutyStep, DutyWorld, Ending, measure_duties, play_duties};
-pub use measure::{Figures, Plain, measure, measure_replaced, plain};
-pub use member::{Folder, Msg, Seated, World, size};
-pub use returns::{ReturnFigures, Way, measure_return, play_return};
-pub use rights::{Even, RightsFigures, RightsWorld, measure_rights, play_rights};
-pub use schedule::{Breach, Fault, Schedule, play};
-pub use shares::{ShareFigures, measure_shares};
+pub use duties::{DutyStats, DutyStep, DutyWorld, TermEnd, measure_duties, run_duties_schedule};
+pub use measure::{
+    DetectionStats, HeartbeatMember, measure_detection, measure_heartbeats, measure_replacement,
+};
+pub use member::{Message, SimulatedMember, Simulation, StateFolder, size};
+pub use returns::{RecoveryMode, ReturnStats, measure_return, run_return_schedule};
+pub use rights::{LimitDivision, RightsStats, RightsWorld, measure_rights, run_rights_schedule};
+pub use schedule::{Fault, Schedule, Violation, run_schedule};
+pub use shares::{ShareStats, measure_shares};
 pub use worlds::{IdentityWorld, SupportWorld};
--- a/crates/attack/src/rights.rs
+++ b/crates/attack/src/rights.rs
@@ -1,6 +1,7 @@
-//! Rights over a fleet: a small world searched whole, seeded schedules, and figures.
+//! Shared limits: a small model for state-space search, seeded fault schedules in virtual time, and
+//! measurements.
 
-use crate::schedule::Breach;
+use crate::schedule::Violation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,78 +10,79 @@
 use yarrowhill_kernel::{Clock, Fleet, Link, Links, Member, Micros, ProcessFault, World};
 use yarrowhill_rights::{CALL, Coordinator, Envelope, Holder, LeaseDurations, Limit, Request, SharedLimits};
 
-/// A member that lends, others that borrow, and two keepers that know nothing of each other. Anything may happen that the
-/// assumptions allow: what was asked long ago is answered now, answers are lost, members and keepers start again with
-/// nothing remembered. The lender's clock is as fast and the borrowers' as slow as the drift allows.
+/// Model of a member that lends, members that borrow, and two coordinators that do not know each other. Every
+/// step that the assumptions allow is possible: delayed requests are answered, answers are lost, members and
+/// coordinators restart without memory. The lender's clock is as fast and the borrowers' clocks are as slow
+/// as the drift bound allows.
 #[derive(Clone, Copy, Debug)]
 pub struct RightsWorld {
-    /// The rates of the lender's and of the borrowers' clocks, in steps a step of the world,
+    /// Clock rates of the lender and of the borrowers, in clock units for each [`RightsStep::Tick`].
     pub rates: [u64; 2],
-    /// and of the keepers'.
-    pub keepers: [u64; 2],
-    /// What those rates were said to be.
+    /// Clock rates of the coordinators, in clock units for each tick.
+    pub coordinators: [u64; 2],
+    /// Drift bound that the protocol is configured with.
     pub drift: f64,
-    /// A grant, in steps.
+    /// Duration of a grant in clock units.
     pub grant: u64,
-    /// Members that borrow.
+    /// Number of members that borrow.
     pub borrowers: usize,
 }
 
 impl Default for RightsWorld {
     fn default() -> Self {
-        RightsWorld { rates: [11, 9], keepers: [9, 11], drift: 0.1, grant: 20, borrowers: 2 }
+        RightsWorld { rates: [11, 9], coordinators: [9, 11], drift: 0.1, grant: 20, borrowers: 2 }
     }
 }
 
-/// The lender's number; the others borrow.
+/// Index of the lender; all other members borrow.
 const LENDER: usize = 0;
-/// Each member's floor.
+/// Floor of each member.
 const FLOOR: u64 = 2;
-/// What every clock reads.
+/// Reading of every clock in a state.
 const NOW: u64 = 1_000_000;
 
-/// A state of it.
+/// State of [`RightsWorld`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RightsState {
     holders: Vec<Holder>,
-    keepers: Vec<Coordinator>,
+    coordinators: Vec<Coordinator>,
 }
 
-/// A step of it.
+/// Step of [`RightsWorld`].
 #[derive(Clone, Copy, Debug)]
 pub enum RightsStep {
-    /// Time passes.
-    Time,
-    /// The lender answers what a keeper asked so many steps ago; the answer comes, or is lost.
+    /// Advances all clocks.
+    Tick,
+    /// The lender answers a coordinator's request; the answer arrives or is lost.
     Lend {
-        /// Which keeper.
-        keeper: usize,
-        /// What it needs itself.
+        /// Index of the coordinator.
+        coordinator: usize,
+        /// The lender's own demand.
         demand: u64,
-        /// How long ago it was asked.
+        /// Age of the request in ticks.
         age: u64,
-        /// Whether the answer comes.
-        comes: bool,
+        /// Whether the answer arrives.
+        answered: bool,
     },
-    /// A keeper answers what a borrower asked so many steps ago; the answer comes, or is lost.
+    /// A coordinator answers a borrower's request; the answer arrives or is lost.
     Borrow {
-        /// Which member.
+        /// Index of the borrower.
         member: usize,
-        /// Which keeper.
-        keeper: usize,
-        /// How long ago it asked.
+        /// Index of the coordinator.
+        coordinator: usize,
+        /// Age of the request in ticks.
         age: u64,
-        /// Whether the answer comes.
-        comes: bool,
+        /// Whether the answer arrives.
+        answered: bool,
     },
-    /// A member starts again,
+    /// A member restarts without memory.
     Restart(usize),
-    /// or a keeper.
-    Forget(usize),
+    /// A coordinator restarts without memory.
+    RestartCoordinator(usize),
 }
 
 impl RightsWorld {
-    fn spans(&self) -> LeaseDurations {
+    fn durations(&self) -> LeaseDurations {
         LeaseDurations::new(self.grant, self.drift)
     }
 
@@ -98,67 +100,72 @@
     type Step = RightsStep;
 
     fn initial_states(&self) -> Vec<RightsState> {
-        // All have run for long.
-        let holder = Holder::new(0, self.spans(), FLOOR).rebased(NOW, 0);
-        let keeper = Coordinator::new(0, self.spans()).rebased(NOW, 0);
-        vec![RightsState { holders: vec![holder; 1 + self.borrowers], keepers: vec![keeper; 2] }]
+        // All have run for longer than any grant.
+        let holder = Holder::new(0, self.durations(), FLOOR).rebased(NOW, 0);
+        let coordinator = Coordinator::new(0, self.durations()).rebased(NOW, 0);
+        vec![RightsState { holders: vec![holder; 1 + self.borrowers], coordinators: vec![coordinator; 2] }]
     }
 
     fn steps(&self, _: &RightsState) -> Vec<RightsStep> {
-        let mut steps = vec![RightsStep::Time, RightsStep::Restart(LENDER)];
-        for keeper in 0..2 {
-            for (age, comes) in [(0, true), (1, true), (0, false)] {
-                steps.push(RightsStep::Lend { keeper, demand: 0, age, comes });
+        let mut steps = vec![RightsStep::Tick, RightsStep::Restart(LENDER)];
+        for coordinator in 0..2 {
+            for (age, answered) in [(0, true), (1, true), (0, false)] {
+                steps.push(RightsStep::Lend { coordinator, demand: 0, age, answered });
                 for member in 1..=self.borrowers {
-                    steps.push(RightsStep::Borrow { member, keeper, age, comes });
+                    steps.push(RightsStep::Borrow { member, coordinator, age, answered });
                 }
             }
-            steps.push(RightsStep::Lend { keeper, demand: 1, age: 0, comes: true });
-            steps.push(RightsStep::Forget(keeper));
+            steps.push(RightsStep::Lend { coordinator, demand: 1, age: 0, answered: true });
+            steps.push(RightsStep::RestartCoordinator(coordinator));
         }
         steps
     }
 
     fn apply(&self, state: &RightsState, step: &RightsStep) -> RightsState {
         let mut next = state.clone();
-        let spans = self.spans();
+        let durations = self.durations();
         match *step {
-            RightsStep::Time => {
+            RightsStep::Tick => {
                 for (n, holder) in next.holders.iter_mut().enumerate() {
                     *holder = holder.rebased(NOW, self.rate(n));
                 }
-                for (n, keeper) in next.keepers.iter_mut().enumerate() {
-                    *keeper = keeper.rebased(NOW, self.keepers[n]).without_requests();
+                for (n, coordinator) in next.coordinators.iter_mut().enumerate() {
+                    *coordinator = coordinator.rebased(NOW, self.coordinators[n]).without_requests();
                 }
             }
-            RightsStep::Lend { keeper, demand, age, comes } => {
-                let asked = NOW - age * self.keepers[keeper];
-                let want = next.holders[LENDER].request(NOW, keeper as u64, demand, Some(asked));
+            RightsStep::Lend { coordinator, demand, age, answered } => {
+                let asked_at = NOW - age * self.coordinators[coordinator];
+                let request = next.holders[LENDER].request(NOW, coordinator as u64, demand, Some(asked_at));
                 next.holders[LENDER] = next.holders[LENDER].rebased(NOW, 0);
-                if comes {
-                    next.keepers[keeper].handle_request(
+                if answered {
+                    next.coordinators[coordinator].handle_request(
                         NOW,
                         LENDER as u64,
-                        &Request { extra: 0, ..want },
-                        spans,
+                        &Request { extra: 0, ..request },
+                        durations,
                     );
-                    next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_requests();
+                    next.coordinators[coordinator] =
+                        next.coordinators[coordinator].rebased(NOW, 0).without_requests();
                 }
             }
-            RightsStep::Borrow { member, keeper, age, comes } => {
+            RightsStep::Borrow { member, coordinator, age, answered } => {
                 let at = NOW - age * self.rate(member);
-                let want = Request { sent_at: at, extra: self.limit(), offer: None };
-                let grant = next.keepers[keeper].handle_request(NOW, member as u64, &want, spans);
-                next.keepers[keeper] = next.keepers[keeper].rebased(NOW, 0).without_requests();
-                if comes {
-                    next.holders[member].apply_grant(NOW, keeper as u64, &grant);
+                let request = Request { sent_at: at, extra: self.limit(), offer: None };
+                let grant =
+                    next.coordinators[coordinator].handle_request(NOW, member as u64, &request, durations);
+                next.coordinators[coordinator] =
+                    next.coordinators[coordinator].rebased(NOW, 0).without_requests();
+                if answered {
+                    next.holders[member].apply_grant(NOW, coordinator as u64, &grant);
                     next.holders[member] = next.holders[member].rebased(NOW, 0);
                 }
             }
             RightsStep::Restart(member) => {
-                next.holders[member] = Holder::new(NOW, spans, FLOOR).rebased(NOW, 0);
+                next.holders[member] = Holder::new(NOW, durations, FLOOR).rebased(NOW, 0);
+            }
+            RightsStep::RestartCoordinator(coordinator) => {
+                next.coordinators[coordinator] = Coordinator::new(NOW, durations)
             }
-            RightsStep::Forget(keeper) => next.keepers[keeper] = Coordinator::new(NOW, spans),
         }
         next
     }
@@ -166,162 +173,180 @@
     fn violation(&self, state: &RightsState) -> Option<String> {
         let rights: Vec<u64> = state.holders.iter().map(|h| h.right(NOW)).collect();
         let sum: u64 = rights.iter().sum();
-        (sum > self.limit()).then(|| format!("{rights:?} in use, of {}", self.limit()))
+        (sum > self.limit()).then(|| format!("rights {rights:?} exceed the limit {}", self.limit()))
     }
 }
 
-/// The span of a grant in the schedules and figures (microseconds).
+/// Duration of a grant in the schedules and measurements (microseconds).
 const GRANT: Micros = 1_000_000;
 const DRIFT: f64 = 0.01;
-/// The limit that all share.
+/// Limit that all members share.
 const LIMIT: u64 = 600 * CALL;
-/// Which.
+/// Destination id.
 const DEST: u64 = 7;
-/// A call that may not begin waits for so long (microseconds).
-const PATIENCE: Micros = GRANT / 4;
-/// How fine the world is looked at (microseconds).
+/// Time after which a waiting call is abandoned (microseconds).
+const MAX_WAIT: Micros = GRANT / 4;
+/// Step of the simulation and interval between property checks (microseconds).
 const STEP: Micros = GRANT / 40;
 
-/// How a limit is shared.
+/// How a limit is divided among members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Even {
+pub enum LimitDivision {
     /// By rights that are lent and granted.
-    Rights,
-    /// Each has its even part for good.
-    Split,
+    Lending,
+    /// Each member keeps an equal fixed part.
+    Fixed,
 }
 
-/// A member of a fleet that shares a limit, with calls to make.
-struct Sharer {
+/// Simulated member that shares a limit and has calls to make.
+struct SharingMember {
     sharing: SharedLimits,
-    /// Whom it takes to be there.
+    /// Members that it takes to be live.
     view: Vec<u64>,
-    /// Calls that come to it (a second).
+    /// Arriving calls per second.
     rate: f64,
     next_call: Micros,
-    /// Calls that were held back, with when each is given up.
+    /// Times at which the waiting calls are abandoned.
     waiting: VecDeque<Micros>,
-    /// When they ask again.
-    retry: Micros,
-    /// Calls that came and that began.
-    came: u64,
-    begun: u64,
-    out: Vec<(usize, Envelope)>,
+    /// Time of the next attempt to start a waiting call.
+    retry_at: Micros,
+    /// Number of calls that arrived.
+    arrived: u64,
+    /// Number of calls that were started.
+    started: u64,
+    outgoing: Vec<(usize, Envelope)>,
 }
 
-impl Sharer {
-    fn new(me: usize, now: Micros, members: usize, limit: Limit, rate: f64, life: u64) -> Self {
-        let spans = LeaseDurations::new(GRANT, DRIFT);
-        let mut sharing = SharedLimits::new(now, me as u64, life, members, spans);
+impl SharingMember {
+    fn new(local_id: usize, now: Micros, members: usize, limit: Limit, rate: f64, instance: u64) -> Self {
+        let durations = LeaseDurations::new(GRANT, DRIFT);
+        let mut sharing = SharedLimits::new(now, local_id as u64, instance, members, durations);
         sharing.set_limits(now, members, &BTreeMap::from([(DEST, limit)]));
         let view = (0..members as u64).collect();
-        let (next_call, waiting, out) = (now + (me as u64 * 7919) % GRANT, VecDeque::new(), Vec::new());
-        Sharer { sharing, view, rate, next_call, waiting, retry: 0, came: 0, begun: 0, out }
+        let (next_call, waiting, outgoing) =
+            (now + (local_id as u64 * 7919) % GRANT, VecDeque::new(), Vec::new());
+        SharingMember {
+            sharing,
+            view,
+            rate,
+            next_call,
+            waiting,
+            retry_at: 0,
+            arrived: 0,
+            started: 0,
+            outgoing,
+        }
     }
 
-    fn call(&mut self, now: Micros) {
+    fn make_calls(&mut self, now: Micros) {
         self.waiting.retain(|until| now < *until);
         while !self.waiting.is_empty() {
             if let Err(wait) = self.sharing.try_begin(now, &[DEST], 1.0, true) {
-                self.retry = now + wait.max(1000);
+                self.retry_at = now + wait.max(1000);
                 break;
             }
             self.waiting.pop_front();
-            self.begun += 1;
+            self.started += 1;
         }
-        // One that was stopped finds what came meanwhile, as far as a client would still wait.
+        // After a stall, only the calls whose clients would still wait have arrived.
         self.next_call = self.next_call.max(now.saturating_sub(GRANT));
         while self.rate > 0.0 && now >= self.next_call {
             self.next_call += (1e6 / self.rate) as Micros + 1;
-            self.came += 1;
+            self.arrived += 1;
             match self.sharing.try_begin(now, &[DEST], 1.0, false) {
-                Ok(()) => self.begun += 1,
+                Ok(()) => self.started += 1,
                 Err(wait) => {
-                    self.retry = now + wait.max(1000);
-                    self.waiting.push_back(now + PATIENCE);
+                    self.retry_at = now + wait.max(1000);
+                    self.waiting.push_back(now + MAX_WAIT);
                 }
             }
         }
     }
 
-    fn say(&mut self, now: Micros) {
-        let letters = self.sharing.tick(now, &self.view);
-        self.out.extend(letters.into_iter().map(|(to, letter)| (to as usize, letter)));
+    fn send_updates(&mut self, now: Micros) {
+        let envelopes = self.sharing.tick(now, &self.view);
+        self.outgoing.extend(envelopes.into_iter().map(|(to, envelope)| (to as usize, envelope)));
     }
 }
 
-impl Member for Sharer {
+impl Member for SharingMember {
     type Packet = Envelope;
 
     fn tick(&mut self, now: Micros) {
-        self.call(now);
-        self.say(now);
+        self.make_calls(now);
+        self.send_updates(now);
     }
 
-    fn handle(&mut self, now: Micros, from: usize, letter: Envelope) {
-        let answer = self.sharing.handle(now, from as u64, &letter);
-        self.out.extend(answer.map(|answer| (from, answer)));
-        self.call(now);
+    fn handle(&mut self, now: Micros, from: usize, envelope: Envelope) {
+        let answer = self.sharing.handle(now, from as u64, &envelope);
+        self.outgoing.extend(answer.map(|answer| (from, answer)));
+        self.make_calls(now);
     }
 
     fn take_outgoing(&mut self) -> Vec<(usize, Envelope)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
     fn next_wake(&self) -> Micros {
         let calls = if self.rate > 0.0 { self.next_call } else { Micros::MAX };
-        let held = if self.waiting.is_empty() { Micros::MAX } else { self.retry };
-        self.sharing.next_wake().min(calls).min(held)
+        let retry = if self.waiting.is_empty() { Micros::MAX } else { self.retry_at };
+        self.sharing.next_wake().min(calls).min(retry)
     }
 }
 
-fn size(letter: &Envelope) -> usize {
-    encode_rights(letter).map_or(usize::MAX, |bytes| bytes.len())
+fn size(envelope: &Envelope) -> usize {
+    encode_rights(envelope).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-fn limit(calls: u64, even: Even) -> Limit {
-    Limit { calls, lend: even == Even::Rights }
+fn limit(calls: u64, division: LimitDivision) -> Limit {
+    Limit { calls, lend: division == LimitDivision::Lending }
 }
 
-fn fleet(members: usize, even: Even, seed: u64, rate: impl Fn(usize) -> f64) -> Fleet<Sharer> {
+fn fleet(
+    members: usize,
+    division: LimitDivision,
+    seed: u64,
+    rate: impl Fn(usize) -> f64,
+) -> Fleet<SharingMember> {
     let mut fleet = Fleet::new(seed, Links::default(), size);
     for n in 0..members {
         let clock = 1.0 + DRIFT * (2.0 * n as f64 / (members.max(2) - 1) as f64 - 1.0);
         fleet.add_slot(Clock { offset: n as u64 * 1_000_003 + 10_000_000, rate: clock });
         let now = fleet.local_time(n);
-        fleet.start(n, Sharer::new(n, now, members, limit(LIMIT, even), rate(n), n as u64 + 1));
+        fleet.start(n, SharingMember::new(n, now, members, limit(LIMIT, division), rate(n), n as u64 + 1));
     }
     fleet
 }
 
-/// What all may use now; one that is stopped could wake at this moment.
-fn rights(fleet: &Fleet<Sharer>) -> u64 {
+/// Returns the sum of all rights. Stalled members count: they could wake now.
+fn rights(fleet: &Fleet<SharingMember>) -> u64 {
     let right = |n| fleet.member(n).and_then(|m| m.sharing.right(fleet.local_time(n), DEST)).unwrap_or(0);
     (0..fleet.len()).map(right).sum()
 }
 
-fn total(fleet: &Fleet<Sharer>, of: impl Fn(&Sharer) -> u64) -> u64 {
+fn total(fleet: &Fleet<SharingMember>, of: impl Fn(&SharingMember) -> u64) -> u64 {
     (0..fleet.len()).filter_map(|n| fleet.member(n)).map(of).sum()
 }
 
-/// Plays the schedule of a seed: whatever comes, all together never may use more than the largest limit that one of them
-/// goes by, and over no span more calls begin than that and what each may have saved up.
+/// Runs the fault schedule of a seed. Checks that the rights of all members never exceed the largest limit
+/// that any of them uses, and that over no window more calls start than this limit and the burst that each
+/// member may have saved up.
 ///
 /// # Errors
 ///
-/// They may, or do.
-pub fn play_rights(seed: u64) -> Result<(), Breach> {
+/// Returns the first property that does not hold.
+pub fn run_rights_schedule(seed: u64) -> Result<(), Violation> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x419);
     let members = [3, 3, 5, 9][rng.random_range(0..4)];
-    let most_rate = LIMIT as f64 / CALL as f64 / 2.0;
-    let mut rates: Vec<f64> = (0..members).map(|_| rng.random_range(0.0..most_rate)).collect();
-    // What each goes by: told one after another, as documents are read.
-    let mut goes_by = vec![LIMIT; members];
-    let mut lives = members as u64;
-    let mut fleet = fleet(members, Even::Rights, seed, |n| rates[n]);
-    let (mut ended, mut allowed, mut least) = (0u64, 0.0f64, f64::INFINITY);
+    let max_rate = LIMIT as f64 / CALL as f64 / 2.0;
+    let mut rates: Vec<f64> = (0..members).map(|_| rng.random_range(0.0..max_rate)).collect();
+    // Limit that each member uses. Members get a new limit one after another, as each reads its documents.
+    let mut limits_in_use = vec![LIMIT; members];
+    let mut instance_count = members as u64;
+    let mut fleet = fleet(members, LimitDivision::Lending, seed, |n| rates[n]);
+    let (mut killed_started, mut allowed, mut min_excess) = (0u64, 0.0f64, f64::INFINITY);
     while fleet.now() < 60 * GRANT {
-        let one = rng.random_range(0..members);
+        let member = rng.random_range(0..members);
         match rng.random_range(0..10) {
             0 => fleet.links.partition(&(0..members).map(|_| rng.random_range(0..2)).collect::<Vec<_>>()),
             1 => fleet.links.heal(),
@@ -329,32 +354,39 @@
                 let (loss, jitter) = (rng.random_range(0.0..0.5), rng.random_range(0..GRANT));
                 fleet.links.default = Link { loss, duplication: 0.1, delay: 100, jitter, cut: false };
             }
-            3 => fleet.inject(&ProcessFault::Stall(one, rng.random_range(GRANT / 5..10 * GRANT))),
+            3 => fleet.inject(&ProcessFault::Stall(member, rng.random_range(GRANT / 5..10 * GRANT))),
             4 => {
-                ended += fleet.member(one).map_or(0, |m| m.begun);
-                fleet.inject(&ProcessFault::Kill(one));
+                killed_started += fleet.member(member).map_or(0, |m| m.started);
+                fleet.inject(&ProcessFault::Kill(member));
             }
-            5 if fleet.member(one).is_none() => {
-                let now = fleet.local_time(one);
-                lives += 1;
-                let told = limit(goes_by[one], Even::Rights);
-                fleet.start(one, Sharer::new(one, now, members, told, rates[one], lives));
+            5 if fleet.member(member).is_none() => {
+                let now = fleet.local_time(member);
+                instance_count += 1;
+                let new_limit = limit(limits_in_use[member], LimitDivision::Lending);
+                fleet.start(
+                    member,
+                    SharingMember::new(member, now, members, new_limit, rates[member], instance_count),
+                );
             }
-            // Members do not agree on who is there, and so on who keeps.
+            // Members disagree on the live members, and so on the coordinator.
             6 => {
                 let view: Vec<u64> = (0..members as u64).filter(|_| rng.random_bool(0.6)).collect();
-                fleet.member_mut(one).into_iter().for_each(|m| m.view.clone_from(&view));
+                fleet.member_mut(member).into_iter().for_each(|m| m.view.clone_from(&view));
             }
             7 => {
-                rates[one] = rng.random_range(0.0..most_rate);
-                let rate = rates[one];
-                fleet.member_mut(one).into_iter().for_each(|m| m.rate = rate);
+                rates[member] = rng.random_range(0.0..max_rate);
+                let rate = rates[member];
+                fleet.member_mut(member).into_iter().for_each(|m| m.rate = rate);
             }
             8 => {
-                goes_by[one] = LIMIT / rng.random_range(1..20);
-                let (now, told) = (fleet.local_time(one), limit(goes_by[one], Even::Rights));
-                let limits = BTreeMap::from([(DEST, told)]);
-                fleet.member_mut(one).into_iter().for_each(|m| m.sharing.set_limits(now, members, &limits));
+                limits_in_use[member] = LIMIT / rng.random_range(1..20);
+                let (now, new_limit) =
+                    (fleet.local_time(member), limit(limits_in_use[member], LimitDivision::Lending));
+                let limits = BTreeMap::from([(DEST, new_limit)]);
+                fleet
+                    .member_mut(member)
+                    .into_iter()
+                    .for_each(|m| m.sharing.set_limits(now, members, &limits));
             }
             _ => {}
         }
@@ -362,107 +394,114 @@
         while fleet.now() < until {
             let from = fleet.now();
             fleet.run_until((from + STEP).min(until));
-            let most = goes_by.iter().copied().max().unwrap_or(0);
+            let max_limit = limits_in_use.iter().copied().max().unwrap_or(0);
             let sum = rights(&fleet);
-            if sum > most {
-                let what = format!("{} of {} may be used", sum / CALL, most / CALL);
-                return Err(Breach { at: fleet.now(), what });
+            if sum > max_limit {
+                let description = format!(
+                    "the rights of all members are {}, the limit is {}",
+                    sum / CALL,
+                    max_limit / CALL
+                );
+                return Err(Violation { at: fleet.now(), description });
             }
-            // Calls so far against what was allowed so far, over the worst span that ends here.
-            allowed += (fleet.now() - from) as f64 / 1e6 * most as f64 / CALL as f64 * (1.0 + DRIFT);
-            let begun = (ended + total(&fleet, |m| m.begun)) as f64;
+            // Calls started beyond what was allowed, over the worst window that ends now.
+            allowed += (fleet.now() - from) as f64 / 1e6 * max_limit as f64 / CALL as f64 * (1.0 + DRIFT);
+            let started = (killed_started + total(&fleet, |m| m.started)) as f64;
             let saved = members as f64 + 0.1 * LIMIT as f64 / CALL as f64 + 1.0;
-            if begun - allowed - least > saved {
-                let what = format!("{:.1} calls beyond the limit", begun - allowed - least);
-                return Err(Breach { at: fleet.now(), what });
+            if started - allowed - min_excess > saved {
+                let description =
+                    format!("{:.1} calls started beyond the limit", started - allowed - min_excess);
+                return Err(Violation { at: fleet.now(), description });
             }
-            least = least.min(begun - allowed);
+            min_excess = min_excess.min(started - allowed);
         }
     }
     Ok(())
 }
 
-/// What was measured.
+/// Measured use of a shared limit.
 #[derive(Clone, Debug)]
-pub struct RightsFigures {
-    /// The part of what an oracle would use, with a third of the traffic at one member,
-    pub third: f64,
-    /// with all of it at one in thirty,
-    pub few: f64,
-    /// and with the keeper and half of the others cut off, on both sides together.
-    pub cut: f64,
-    /// Seconds until nine tenths are used again after the traffic has moved to another member.
-    pub moved: Option<f64>,
-    /// The most that could be used at an instant, as a part of the limit.
-    pub most: f64,
-    /// Bytes a second a member.
+pub struct RightsStats {
+    /// Use relative to an ideal division, with a third of the traffic at one member.
+    pub one_hot: f64,
+    /// Use relative to an ideal division, with all of the traffic at one in thirty members.
+    pub few_active: f64,
+    /// Use of both sides together relative to an ideal division, while the network is partitioned in two
+    /// halves.
+    pub partitioned: f64,
+    /// Time until nine tenths of the earlier use are reached again after the traffic moved to another member
+    /// (seconds).
+    pub shift_secs: Option<f64>,
+    /// Highest sum of all rights at any time, as a fraction of the limit.
+    pub peak: f64,
+    /// Bytes sent by each member per second.
     pub bytes: f64,
 }
 
-impl fmt::Display for RightsFigures {
+impl fmt::Display for RightsStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RightsFigures { third, few, cut, moved, most, bytes } = self;
-        let moved = moved.map_or("never".to_owned(), |s| format!("{s:.1} s"));
+        let RightsStats { one_hot, few_active, partitioned, shift_secs, peak, bytes } = self;
+        let shift = shift_secs.map_or("never".to_owned(), |s| format!("{s:.1} s"));
         write!(
             f,
-            "use {third:.2} with a third at one, {few:.2} with all at one in thirty, {cut:.2} cut in two; \
-             {moved} to move; at most {most:.3} of the limit; {bytes:.0} bytes a second"
+            "use {one_hot:.2} with a third at one, {few_active:.2} with all at one in thirty, \
+             {partitioned:.2} partitioned; {shift} to follow moved traffic; peak {peak:.3} of the limit; {bytes:.0} bytes per second"
         )
     }
 }
 
-/// Measures how well a limit is used, by a demand of nine tenths of it.
-pub fn measure_rights(members: usize, even: Even, seed: u64) -> RightsFigures {
+/// Measures the use of a limit with a demand of nine tenths of it.
+pub fn measure_rights(members: usize, division: LimitDivision, seed: u64) -> RightsStats {
     let all = LIMIT as f64 / CALL as f64 * 0.9;
     let busy = (members / 30).max(1);
-    let third = |hot: usize| {
+    let hot_rates = |hot: usize| {
         move |n: usize| if n == hot { all / 3.0 } else { all / 3.0 * 2.0 / (members as f64 - 1.0).max(1.0) }
     };
-    let few = |n: usize| if n < busy { all / busy as f64 } else { 0.0 };
-    let mut most = 0.0f64;
-    // Calls that began, of those that came.
-    let mut used = |fleet: &mut Fleet<Sharer>, span: Micros| {
-        let before = (total(fleet, |m| m.begun), total(fleet, |m| m.came));
-        let end = fleet.now() + span;
+    let few_rates = |n: usize| if n < busy { all / busy as f64 } else { 0.0 };
+    let mut peak = 0.0f64;
+    // Returns the fraction of the arrived calls that were started.
+    let mut measure_use = |fleet: &mut Fleet<SharingMember>, duration: Micros| {
+        let before = (total(fleet, |m| m.started), total(fleet, |m| m.arrived));
+        let end = fleet.now() + duration;
         while fleet.now() < end {
             let next = (fleet.now() + STEP).min(end);
             fleet.run_until(next);
-            most = most.max(rights(fleet) as f64 / LIMIT as f64);
+            peak = peak.max(rights(fleet) as f64 / LIMIT as f64);
         }
-        let after = (total(fleet, |m| m.begun), total(fleet, |m| m.came));
+        let after = (total(fleet, |m| m.started), total(fleet, |m| m.arrived));
         (after.0 - before.0) as f64 / (after.1 - before.1).max(1) as f64
     };
-    let mut one = fleet(members, even, seed, third(1 % members));
-    used(&mut one, 20 * GRANT);
-    let before: u64 = one.bytes.iter().sum();
-    let third_use = used(&mut one, 20 * GRANT);
-    let bytes = (one.bytes.iter().sum::<u64>() - before) as f64 / (20.0 * members as f64);
-    // The third moves to the last member.
-    let moves = third(members - 1);
-    let start = one.now();
+    let mut hot = fleet(members, division, seed, hot_rates(1 % members));
+    measure_use(&mut hot, 20 * GRANT);
+    let before: u64 = hot.bytes.iter().sum();
+    let one_hot = measure_use(&mut hot, 20 * GRANT);
+    let bytes = (hot.bytes.iter().sum::<u64>() - before) as f64 / (20.0 * members as f64);
+    // The traffic of the hot member moves to the last member.
+    let moved_rates = hot_rates(members - 1);
+    let start = hot.now();
     for n in 0..members {
-        let now = one.local_time(n);
-        one.member_mut(n).into_iter().for_each(|m| (m.rate, m.next_call) = (moves(n), now));
+        let now = hot.local_time(n);
+        hot.member_mut(n).into_iter().for_each(|m| (m.rate, m.next_call) = (moved_rates(n), now));
     }
-    let mut moved = None;
-    while moved.is_none() && one.now() < start + 30 * GRANT {
-        if used(&mut one, GRANT / 4) >= 0.9 * third_use {
-            moved = Some((one.now() - start) as f64 / 1e6);
+    let mut shift_secs = None;
+    while shift_secs.is_none() && hot.now() < start + 30 * GRANT {
+        if measure_use(&mut hot, GRANT / 4) >= 0.9 * one_hot {
+            shift_secs = Some((hot.now() - start) as f64 / 1e6);
         }
     }
-    used(&mut one, 5 * GRANT);
-    one.links.partition(&(0..members).map(|n| usize::from(n * 2 >= members)).collect::<Vec<_>>());
-    used(&mut one, 8 * GRANT);
-    // By then each side's view has its own keeper: that needs nobody's leave.
+    measure_use(&mut hot, 5 * GRANT);
+    hot.links.partition(&(0..members).map(|n| usize::from(n * 2 >= members)).collect::<Vec<_>>());
+    measure_use(&mut hot, 8 * GRANT);
+    // By then each side's view has a coordinator of its own, which needs no majority.
     for n in 0..members {
         let side = (0..members).filter(|other| (other * 2 >= members) == (n * 2 >= members));
         let view: Vec<u64> = side.map(|other| other as u64).collect();
-        one.member_mut(n).into_iter().for_each(|m| m.view.clone_from(&view));
+        hot.member_mut(n).into_iter().for_each(|m| m.view.clone_from(&view));
     }
-    used(&mut one, 8 * GRANT);
-    let cut = used(&mut one, 10 * GRANT);
-    let mut other = fleet(members, even, seed, few);
-    used(&mut other, 20 * GRANT);
-    let few_use = used(&mut other, 20 * GRANT);
-    RightsFigures { third: third_use, few: few_use, cut, moved, most, bytes }
+    measure_use(&mut hot, 8 * GRANT);
+    let partitioned = measure_use(&mut hot, 10 * GRANT);
+    let mut other = fleet(members, division, seed, few_rates);
+    measure_use(&mut other, 20 * GRANT);
+    let few_active = measure_use(&mut other, 20 * GRANT);
+    RightsStats { one_hot, few_active, partitioned, shift_secs, peak, bytes }
 }
--- a/crates/attack/src/schedule.rs
+++ b/crates/attack/src/schedule.rs
@@ -1,6 +1,6 @@
-//! A seed's faults over a fleet in virtual time, and what must hold under them.
+//! Seeded fault schedules for a membership fleet in virtual time, and the properties checked while they run.
 
-use crate::member::World;
+use crate::member::Simulation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,89 +8,89 @@
 use yarrowhill_kernel::{Link, Links, Micros, ProcessFault};
 use yarrowhill_membership::{Event, Health, Timing, ViewId};
 
-/// A fault.
+/// A fault. Members are given by slot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// One direction is cut.
-    Cut(usize, usize),
-    /// Both directions between two.
-    Part(usize, usize),
-    /// Nothing passes between members of different islands.
-    Islands(Vec<usize>),
-    /// The one law that holds everywhere else.
-    Weather(Link),
-    /// All links as they were.
+    /// Cuts one direction of a link (from, to).
+    CutLink(usize, usize),
+    /// Cuts both directions between two members.
+    CutBothWays(usize, usize),
+    /// Partitions the network: nothing passes between members with different group numbers (by slot).
+    Partition(Vec<usize>),
+    /// Sets loss, duplication and delay of all links that have no setting of their own.
+    DefaultLink(Link),
+    /// Resets all links to the defaults.
     Heal,
-    /// A member is stopped for so long (microseconds).
+    /// Stalls a member for a duration (microseconds).
     Stall(usize, Micros),
-    /// A member ends.
+    /// Kills a member.
     Kill(usize),
-    /// It starts with its folder as it was,
+    /// Restarts a killed member with its state folder as it was.
     Restart(usize),
-    /// with an older copy of it,
-    RestartOld(usize),
-    /// or an empty one.
+    /// Restarts a killed member with an older copy of its state folder.
+    RestartStale(usize),
+    /// Restarts a killed member with an empty state folder.
     RestartEmpty(usize),
-    /// Its disk takes nothing more, or does again.
-    Disk(usize, bool),
+    /// Makes a member's disk full (true) or writable again (false).
+    DiskFull(usize, bool),
 }
 
-/// What a seed does to a fleet.
+/// A fault schedule drawn from a seed.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The seed.
+    /// Seed that the schedule was drawn from.
     pub seed: u64,
-    /// Members.
+    /// Number of members.
     pub size: usize,
-    /// Faults with their times (microseconds), in order.
+    /// Faults with their virtual times (microseconds), in order.
     pub faults: Vec<(Micros, Fault)>,
-    /// All is mended at this time, and all members live.
-    pub healed: Micros,
+    /// Virtual time (microseconds) at which all links and disks are repaired and all members are started.
+    pub healed_at: Micros,
 }
 
-/// A property that does not hold.
+/// A violated property.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
-    /// When (microseconds of the world).
+pub struct Violation {
+    /// Virtual time of the violation (microseconds).
     pub at: Micros,
-    /// What.
-    pub what: String,
+    /// Description of the violation.
+    pub description: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {:.3} s: {}", self.at as f64 / 1e6, self.what)
+        write!(f, "at {:.3} s: {}", self.at as f64 / 1e6, self.description)
     }
 }
 
-/// The probe period of all schedules: the protocol knows no other unit.
+/// Probe period of all schedules (microseconds). All other timings of the protocol are derived from it.
 pub(crate) const PERIOD: Micros = 1_000_000;
-/// Faults come for so long.
-const TROUBLE: Micros = 60 * PERIOD;
-/// What is mended is one view within this: the longest suspicion, a round of probes, and the settling of the view,
-/// with hold-downs of those that flapped.
-const AGREED: Micros = 90 * PERIOD;
-/// A death is in nobody's view after this, whatever the links do.
-const KNOWN: Micros = 60 * PERIOD;
-/// How often the world is looked at.
-const LOOK: Micros = PERIOD / 20;
+/// Length of the phase in which faults are injected.
+const FAULT_PHASE: Micros = 60 * PERIOD;
+/// Maximum time from repair to one common view: the longest suspicion, a round of probes, and the settling of
+/// the view with the hold-downs of members that flapped.
+const MAX_CONVERGENCE: Micros = 90 * PERIOD;
+/// Maximum time for which a dead member may stay in any view, whatever the links do.
+const MAX_DETECTION: Micros = 60 * PERIOD;
+/// Interval between property checks.
+const CHECK_INTERVAL: Micros = PERIOD / 20;
 
 impl Schedule {
-    /// The schedule of a seed.
-    pub fn draw(seed: u64) -> Self {
+    /// Draws the schedule of a seed.
+    pub fn from_seed(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let size = [3, 3, 5, 5, 7, 9][rng.random_range(0..6)];
         let mut faults = Vec::new();
         let mut dead = BTreeSet::new();
         let mut at = rng.random_range(0..10 * PERIOD);
-        while at < TROUBLE {
-            let one = rng.random_range(0..size);
-            let other = (one + rng.random_range(1..size)) % size;
+        while at < FAULT_PHASE {
+            let member = rng.random_range(0..size);
+            let other = (member + rng.random_range(1..size)) % size;
             let fault = match rng.random_range(0..12) {
-                0 => Fault::Cut(one, other),
-                1 => Fault::Part(one, other),
-                2 | 3 => Fault::Islands((0..size).map(|_| rng.random_range(0..2 + size / 5)).collect()),
-                4 => Fault::Weather(Link {
+                0 => Fault::CutLink(member, other),
+                1 => Fault::CutBothWays(member, other),
+                2 | 3 => Fault::Partition((0..size).map(|_| rng.random_range(0..2 + size / 5)).collect()),
+                4 => Fault::DefaultLink(Link {
                     loss: rng.random_range(0.0..0.3),
                     duplication: rng.random_range(0.0..0.1),
                     delay: rng.random_range(100..PERIOD / 10),
@@ -98,167 +98,181 @@
                     cut: false,
                 }),
                 5 => Fault::Heal,
-                6 | 7 => Fault::Stall(one, rng.random_range(PERIOD / 5..30 * PERIOD)),
-                8 => Fault::Disk(one, rng.random_bool(0.5)),
-                _ if dead.remove(&one) => match rng.random_range(0..4) {
-                    0 => Fault::RestartOld(one),
-                    1 => Fault::RestartEmpty(one),
-                    _ => Fault::Restart(one),
+                6 | 7 => Fault::Stall(member, rng.random_range(PERIOD / 5..30 * PERIOD)),
+                8 => Fault::DiskFull(member, rng.random_bool(0.5)),
+                _ if dead.remove(&member) => match rng.random_range(0..4) {
+                    0 => Fault::RestartStale(member),
+                    1 => Fault::RestartEmpty(member),
+                    _ => Fault::Restart(member),
                 },
                 _ => {
-                    dead.insert(one);
-                    Fault::Kill(one)
+                    dead.insert(member);
+                    Fault::Kill(member)
                 }
             };
             faults.push((at, fault));
-            // Now and then many at once.
+            // Three in ten faults strike at the same time as the one before.
             at += if rng.random_bool(0.3) { 0 } else { rng.random_range(0..6 * PERIOD) };
         }
-        Schedule { seed, size, faults, healed: TROUBLE + 31 * PERIOD }
+        Schedule { seed, size, faults, healed_at: FAULT_PHASE + 31 * PERIOD }
     }
 }
 
-/// Plays a schedule. The first breach ends it.
+/// Runs a schedule until its end or the first violation.
 ///
 /// # Errors
 ///
-/// A property that does not hold.
-pub fn play(schedule: &Schedule) -> Result<(), Breach> {
+/// Returns the first property that does not hold.
+pub fn run_schedule(schedule: &Schedule) -> Result<(), Violation> {
     let timing = Timing::from_period(PERIOD);
-    let mut world = World::new(schedule.size, timing, Links::default(), schedule.seed);
-    (0..schedule.size).for_each(|n| world.start(n));
-    let mut watch = Watch::default();
+    let mut sim = Simulation::new(schedule.size, timing, Links::default(), schedule.seed);
+    (0..schedule.size).for_each(|n| sim.start(n));
+    let mut checker = PropertyChecker::default();
     let mut faults = schedule.faults.iter().peekable();
     let mut healed = false;
-    let end = schedule.healed + AGREED;
-    while world.fleet.now() < end {
-        let next = (world.fleet.now() / LOOK + 1) * LOOK;
+    let end = schedule.healed_at + MAX_CONVERGENCE;
+    while sim.fleet.now() < end {
+        let next = (sim.fleet.now() / CHECK_INTERVAL + 1) * CHECK_INTERVAL;
         while let Some((at, fault)) = faults.next_if(|(at, _)| *at < next) {
-            world.fleet.run_until(*at);
-            strike(&mut world, fault);
+            sim.fleet.run_until(*at);
+            apply_fault(&mut sim, fault);
         }
-        if !healed && world.fleet.now() >= schedule.healed {
+        if !healed && sim.fleet.now() >= schedule.healed_at {
             healed = true;
-            world.fleet.links = Links::default();
+            sim.fleet.links = Links::default();
             for n in 0..schedule.size {
-                world.folders[n].full = false;
-                match world.fleet.member_mut(n) {
-                    Some(seated) => seated.folder.full = false,
-                    None => world.start(n),
+                sim.folders[n].full = false;
+                match sim.fleet.member_mut(n) {
+                    Some(member) => member.folder.full = false,
+                    None => sim.start(n),
                 }
             }
         }
-        world.fleet.run_until(next);
-        watch.look(&world)?;
+        sim.fleet.run_until(next);
+        checker.check(&sim)?;
     }
-    agreed(&world)
+    check_convergence(&sim)
 }
 
-fn strike(world: &mut World, fault: &Fault) {
-    let links = &mut world.fleet.links;
+fn apply_fault(sim: &mut Simulation, fault: &Fault) {
+    let links = &mut sim.fleet.links;
     match fault {
-        Fault::Cut(from, to) => links.set_cut(*from, *to, true),
-        Fault::Part(a, b) => {
+        Fault::CutLink(from, to) => links.set_cut(*from, *to, true),
+        Fault::CutBothWays(a, b) => {
             links.set_cut(*a, *b, true);
             links.set_cut(*b, *a, true);
         }
-        Fault::Islands(of) => links.partition(of),
-        Fault::Weather(link) => links.default = *link,
+        Fault::Partition(groups) => links.partition(groups),
+        Fault::DefaultLink(link) => links.default = *link,
         Fault::Heal => *links = Links::default(),
-        Fault::Stall(n, span) => world.fleet.inject(&ProcessFault::Stall(*n, *span)),
-        Fault::Kill(n) => world.kill(*n),
-        Fault::Restart(n) => restart(world, *n),
-        Fault::RestartOld(n) => {
-            let boots = &mut world.folders[*n].boots;
+        Fault::Stall(n, duration) => sim.fleet.inject(&ProcessFault::Stall(*n, *duration)),
+        Fault::Kill(n) => sim.kill(*n),
+        Fault::Restart(n) => restart(sim, *n),
+        Fault::RestartStale(n) => {
+            let boots = &mut sim.folders[*n].boots;
             boots.truncate(boots.len().saturating_sub(2));
-            restart(world, *n);
+            restart(sim, *n);
         }
         Fault::RestartEmpty(n) => {
-            world.folders[*n].boots.clear();
-            restart(world, *n);
+            sim.folders[*n].boots.clear();
+            restart(sim, *n);
         }
-        Fault::Disk(n, full) => {
-            world.folders[*n].full = *full;
-            if let Some(seated) = world.fleet.member_mut(*n) {
-                seated.folder.full = *full;
+        Fault::DiskFull(n, full) => {
+            sim.folders[*n].full = *full;
+            if let Some(member) = sim.fleet.member_mut(*n) {
+                member.folder.full = *full;
             }
         }
     }
 }
 
-fn restart(world: &mut World, n: usize) {
-    if world.fleet.member(n).is_none() {
-        world.start(n);
+fn restart(sim: &mut Simulation, n: usize) {
+    if sim.fleet.member(n).is_none() {
+        sim.start(n);
     }
 }
 
-/// What is looked at again and again.
+/// Properties that are checked throughout a run, with the state that the checks need.
 #[derive(Default)]
-struct Watch {
-    /// The newest word that each life of an observer has held of each member: nothing older may count again.
+struct PropertyChecker {
+    /// Newest incarnation (boot, refutations) that each instance of an observer has held of each member, by
+    /// observer slot, observer instance and member slot. An observer must never go back to an older one.
     newest: BTreeMap<(usize, u64, usize), (u64, u64)>,
-    /// Since when each member is dead, and since when each lives and is not stopped (microseconds of the world).
-    dead: BTreeMap<usize, Micros>,
-    up: BTreeMap<usize, Micros>,
+    /// Virtual time since which each dead member is dead.
+    dead_since: BTreeMap<usize, Micros>,
+    /// Virtual time since which each live member runs without being stalled.
+    running_since: BTreeMap<usize, Micros>,
 }
 
-impl Watch {
-    fn look(&mut self, world: &World) -> Result<(), Breach> {
-        let at = world.fleet.now();
-        let breach = |what: String| Err(Breach { at, what });
-        let mut acting: Option<(usize, ViewId)> = None;
-        for n in 0..world.fleet.len() {
-            let (lives, runs) = (world.fleet.member(n).is_some(), !world.fleet.is_stopped(n));
-            let (into, out_of) =
-                if lives { (&mut self.up, &mut self.dead) } else { (&mut self.dead, &mut self.up) };
-            out_of.remove(&n);
-            into.entry(n).or_insert(at);
-            if lives && !runs {
-                self.up.remove(&n);
+impl PropertyChecker {
+    fn check(&mut self, sim: &Simulation) -> Result<(), Violation> {
+        let at = sim.fleet.now();
+        let violation = |description: String| Err(Violation { at, description });
+        let mut acting_view: Option<(usize, ViewId)> = None;
+        for n in 0..sim.fleet.len() {
+            let (is_alive, is_running) = (sim.fleet.member(n).is_some(), !sim.fleet.is_stopped(n));
+            let (entered, left) = if is_alive {
+                (&mut self.running_since, &mut self.dead_since)
+            } else {
+                (&mut self.dead_since, &mut self.running_since)
+            };
+            left.remove(&n);
+            entered.entry(n).or_insert(at);
+            if is_alive && !is_running {
+                self.running_since.remove(&n);
             }
         }
-        for n in 0..world.fleet.len() {
-            let Some(seated) = world.fleet.member(n) else { continue };
-            // Also of one that is stopped: at this moment it could wake in the midst of an act.
-            let own = world.fleet.local_time(n);
-            let core = &seated.core;
+        for n in 0..sim.fleet.len() {
+            let Some(member) = sim.fleet.member(n) else { continue };
+            // Stalled members are checked too: they could wake now in the middle of a protected action.
+            let own = sim.fleet.local_time(n);
+            let core = &member.core;
             if core.permits(own).hold_duty {
                 let view = core.view().id;
-                if let Some((other, theirs)) = acting.filter(|(_, theirs)| *theirs != view) {
-                    let what = format!("{other} acts under {theirs}, and {n} under {view}");
-                    return breach(what);
+                if let Some((other, theirs)) = acting_view.filter(|(_, theirs)| *theirs != view) {
+                    let description = format!(
+                        "members {other} and {n} may act at once, under the views {theirs} and {view}"
+                    );
+                    return violation(description);
                 }
-                acting = Some((n, view));
+                acting_view = Some((n, view));
             }
-            // Whoever is dead for long is in no view of one that has run for as long.
-            if self.up.get(&n).is_some_and(|since| at - since > KNOWN) {
-                let long = |other: &usize| self.dead.get(other).is_some_and(|since| at - since > KNOWN);
-                let held = core.view().members.keys().filter_map(|id| world.number(*id)).find(long);
+            // A member that has been dead for MAX_DETECTION is in no view of a member that has run for as
+            // long.
+            if self.running_since.get(&n).is_some_and(|since| at - since > MAX_DETECTION) {
+                let long_dead = |other: &usize| {
+                    self.dead_since.get(other).is_some_and(|since| at - since > MAX_DETECTION)
+                };
+                let held = core.view().members.keys().filter_map(|id| sim.slot_of(*id)).find(long_dead);
                 if let Some(other) = held {
-                    return breach(format!("{n} has {other} in its view, which is dead for long"));
+                    return violation(format!(
+                        "member {n} still has {other} in its view, which died before the detection limit"
+                    ));
                 }
             }
-            // One step a change: a view stands for a settling time at least.
-            let views = seated.events.iter().filter(|(_, event)| matches!(event, Event::ViewChanged(_)));
+            // A view stands for at least a settling time before the next change.
+            let views = member.events.iter().filter(|(_, event)| matches!(event, Event::ViewChanged(_)));
             let times: Vec<Micros> = views.map(|(when, _)| *when).collect();
-            if let Some(pair) = times.windows(2).last().filter(|p| p[1] - p[0] < world.timing().settle) {
-                return breach(format!("{n} changes its view after {} us", pair[1] - pair[0]));
+            if let Some(pair) = times.windows(2).last().filter(|p| p[1] - p[0] < sim.timing().settle) {
+                return violation(format!("member {n} changes its view after only {} us", pair[1] - pair[0]));
             }
-            // No packet under a boot that is not on disk: what it says of itself stands in its folder.
+            // A member never sends under a boot number that is not on disk.
             let boot = core.local_record().incarnation.boot;
-            if !seated.folder.boots.contains(&boot) {
-                return breach(format!(
-                    "{n} speaks as boot {boot}, and its folder has {:?}",
-                    seated.folder.boots
+            if !member.folder.boots.contains(&boot) {
+                return violation(format!(
+                    "member {n} runs as boot {boot}, but its state folder has {:?}",
+                    member.folder.boots
                 ));
             }
-            let life = core.local_record().instance.0;
+            let instance = core.local_record().instance.0;
             for (id, entry) in core.members() {
-                let Some(other) = world.number(id) else { continue };
+                let Some(other) = sim.slot_of(id) else { continue };
                 let inc = (entry.record.incarnation.boot, entry.record.incarnation.refutations);
-                let newest = self.newest.entry((n, life, other)).or_default();
+                let newest = self.newest.entry((n, instance, other)).or_default();
                 if inc < *newest {
-                    return breach(format!("{n} believes {inc:?} of {other} after {newest:?}"));
+                    return violation(format!(
+                        "member {n} holds incarnation {inc:?} of {other} after {newest:?}"
+                    ));
                 }
                 *newest = inc;
             }
@@ -267,24 +281,26 @@
     }
 }
 
-/// Some time after all is mended: everybody holds the one view of all, and nobody is missing.
-fn agreed(world: &World) -> Result<(), Breach> {
-    let at = world.fleet.now();
-    for n in 0..world.fleet.len() {
-        let Some(seated) = world.fleet.member(n) else {
-            return Err(Breach { at, what: format!("{n} did not start") });
+/// Checks that every member runs and has the complete view, with all members alive.
+fn check_convergence(sim: &Simulation) -> Result<(), Violation> {
+    let at = sim.fleet.now();
+    for n in 0..sim.fleet.len() {
+        let Some(member) = sim.fleet.member(n) else {
+            return Err(Violation { at, description: format!("member {n} did not start after the repair") });
         };
-        let core = &seated.core;
-        let missing: Vec<(usize, Health)> = core
+        let core = &member.core;
+        let not_alive: Vec<(usize, Health)> = core
             .members()
             .filter(|(_, e)| e.record.health != Health::Alive)
-            .filter_map(|(id, e)| Some((world.number(id)?, e.record.health)))
+            .filter_map(|(id, e)| Some((sim.slot_of(id)?, e.record.health)))
             .collect();
-        let standing = core.state(world.fleet.local_time(n));
-        if !missing.is_empty() || standing != yarrowhill_membership::MembershipState::Complete {
-            let there = core.view().members.len();
-            let what = format!("{n} is {standing} with {there} in its view, and misses {missing:?}");
-            return Err(Breach { at, what });
+        let standing = core.state(sim.fleet.local_time(n));
+        if !not_alive.is_empty() || standing != yarrowhill_membership::MembershipState::Complete {
+            let view_size = core.view().members.len();
+            let description = format!(
+                "member {n} is {standing} with {view_size} members in its view; not alive: {not_alive:?}"
+            );
+            return Err(Violation { at, description });
         }
     }
     Ok(())
--- a/crates/attack/src/shares.rs
+++ b/crates/attack/src/shares.rs
@@ -1,79 +1,81 @@
-//! What members make of a limit that they divide by who is there, against a division that is fixed: seven in ten die
-//! at once, and come back.
+//! Use of a limit that members divide by the number of live members, compared with a fixed division: seven in
+//! ten members die at once and return a minute later.
 
-use crate::member::World;
+use crate::member::Simulation;
 use crate::schedule::PERIOD;
 use yarrowhill_kernel::{Link, Links, Micros};
 use yarrowhill_membership::Timing;
 
-/// How fine times are (microseconds).
+/// Resolution of the measured times (microseconds).
 const STEP: Micros = PERIOD / 20;
-/// So much of the limit is full use.
-const FULL: f64 = 0.99;
-/// The dead stay away for so long, and the returned are watched for as long (microseconds).
-const AWAY: Micros = 60 * PERIOD;
+/// Fraction of the limit from which it counts as fully used.
+const FULL_USE: f64 = 0.99;
+/// Time for which the dead members are absent, and for which the fleet is measured after their return
+/// (microseconds).
+const ABSENCE: Micros = 60 * PERIOD;
 
-/// What came of it. Every member has more to send than its part.
+/// Measured use of the limit, where every member has more to send than its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShareFigures {
-    /// From the deaths until the rest use the whole limit (milliseconds), if they ever do.
+pub struct ShareStats {
+    /// Time from the deaths until the remaining members use the full limit (milliseconds), if they ever do.
     pub full_after: Option<u64>,
-    /// The part of the limit that was used in the minute after the deaths,
+    /// Fraction of the limit that was used in the minute after the deaths.
     pub used: f64,
-    /// and what a division by all who should exist uses of it.
+    /// Fraction of the limit that a fixed division by the size of the roster would use.
     pub fixed: f64,
-    /// The most that all together used, in limits,
-    pub most: f64,
-    /// and for how long it was more than one (milliseconds).
-    pub over: u64,
-    /// From the return until everybody divides by all (milliseconds), if they ever do.
+    /// Highest total use at any time, as a fraction of the limit.
+    pub peak: f64,
+    /// Total time during which use exceeded the limit (milliseconds).
+    pub over_ms: u64,
+    /// Time from the return until every member divides by the full size again (milliseconds), if they ever
+    /// do.
     pub back_after: Option<u64>,
 }
 
-/// Kills seven in ten of `size` members at once and starts them a minute later, all at once.
-pub fn measure_shares(size: usize, loss: f64, confirm: bool, seed: u64) -> ShareFigures {
+/// Kills seven in ten of `size` members at once and starts them all together a minute later.
+pub fn measure_shares(size: usize, loss: f64, confirm: bool, seed: u64) -> ShareStats {
     let mut timing = Timing::from_period(PERIOD);
     timing.collect_support = confirm;
-    let mut world = World::new(size, timing, Links::uniform(Link { loss, ..Link::default() }), seed);
-    (0..size).for_each(|n| world.start(n));
-    world.fleet.run_until(60 * PERIOD);
-    let dead = 0..size * 7 / 10;
-    dead.clone().for_each(|n| world.kill(n));
+    let mut sim = Simulation::new(size, timing, Links::uniform(Link { loss, ..Link::default() }), seed);
+    (0..size).for_each(|n| sim.start(n));
+    sim.fleet.run_until(60 * PERIOD);
+    let killed = 0..size * 7 / 10;
+    killed.clone().for_each(|n| sim.kill(n));
     let (mut full_after, mut used) = (None, 0.0);
-    let (mut most, mut over): (f64, u64) = (0.0, 0);
-    let at = world.fleet.now();
-    while world.fleet.now() < at + AWAY {
-        let sum = step(&mut world);
+    let (mut peak, mut over_ms): (f64, u64) = (0.0, 0);
+    let killed_at = sim.fleet.now();
+    while sim.fleet.now() < killed_at + ABSENCE {
+        let sum = advance(&mut sim);
         used += sum;
-        (most, over) = (most.max(sum), over + u64::from(sum > 1.0 + 1e-9) * STEP / 1000);
-        if sum >= FULL {
-            full_after.get_or_insert((world.fleet.now() - at) / 1000);
+        (peak, over_ms) = (peak.max(sum), over_ms + u64::from(sum > 1.0 + 1e-9) * STEP / 1000);
+        if sum >= FULL_USE {
+            full_after.get_or_insert((sim.fleet.now() - killed_at) / 1000);
         }
     }
-    dead.clone().for_each(|n| world.start(n));
-    let back = world.fleet.now();
+    killed.clone().for_each(|n| sim.start(n));
+    let returned_at = sim.fleet.now();
     let mut back_after = None;
-    while world.fleet.now() < back + AWAY {
-        let sum = step(&mut world);
-        (most, over) = (most.max(sum), over + u64::from(sum > 1.0 + 1e-9) * STEP / 1000);
-        let all = (0..size).all(|n| senders(&world, n) == Some(size));
+    while sim.fleet.now() < returned_at + ABSENCE {
+        let sum = advance(&mut sim);
+        (peak, over_ms) = (peak.max(sum), over_ms + u64::from(sum > 1.0 + 1e-9) * STEP / 1000);
+        let all = (0..size).all(|n| senders(&sim, n) == Some(size));
         if all {
-            back_after.get_or_insert((world.fleet.now() - back) / 1000);
+            back_after.get_or_insert((sim.fleet.now() - returned_at) / 1000);
         }
     }
-    let used = used * STEP as f64 / AWAY as f64;
-    let fixed = (size - dead.len()) as f64 / size as f64;
-    ShareFigures { full_after, used, fixed, most, over, back_after }
+    let used = used * STEP as f64 / ABSENCE as f64;
+    let fixed = (size - killed.len()) as f64 / size as f64;
+    ShareStats { full_after, used, fixed, peak, over_ms, back_after }
 }
 
-/// What all use after a step, in limits. One that has started and heard of nobody sends nothing of what is divided
-/// only if its standing says so: it counts with what it would take.
-fn step(world: &mut World) -> f64 {
-    let next = world.fleet.now() + STEP;
-    world.fleet.run_until(next);
-    (0..world.fleet.len()).filter_map(|n| senders(world, n)).map(|senders| 1.0 / senders as f64).sum()
+/// Advances by one step and returns the total use as a fraction of the limit. A member that does not know the
+/// others yet, and may therefore not use the limit, still counts with the share it would take.
+fn advance(sim: &mut Simulation) -> f64 {
+    let next = sim.fleet.now() + STEP;
+    sim.fleet.run_until(next);
+    (0..sim.fleet.len()).filter_map(|n| senders(sim, n)).map(|senders| 1.0 / senders as f64).sum()
 }
 
-fn senders(world: &World, n: usize) -> Option<usize> {
-    Some(world.fleet.member(n)?.core.senders(world.fleet.local_time(n)))
+fn senders(sim: &Simulation, n: usize) -> Option<usize> {
+    Some(sim.fleet.member(n)?.core.senders(sim.fleet.local_time(n)))
 }
--- a/crates/attack/src/worlds.rs
+++ b/crates/attack/src/worlds.rs
@@ -1,4 +1,5 @@
-//! Small worlds of the parts that safety rests on: the code itself, not a model of it.
+//! Small models for state-space search of the parts of membership that safety depends on. They run the
+//! production code itself, not an abstraction of it.
 
 use yarrowhill_kernel::World;
 use yarrowhill_membership::{
@@ -6,63 +7,65 @@
     Support, ViewId, Voter,
 };
 
-/// Voters in the world of support.
+/// Number of voters in [`SupportWorld`].
 const VOTERS: usize = 3;
 const NAMES: [&str; VOTERS] = ["n0", "n1", "n2"];
 
-/// Three voters and two holders under two views. Anything may happen that the assumptions allow: a voter answers either
-/// holder at any time, also to what was asked long ago; the answer is lost; a voter is started again with nothing
-/// remembered; holders are stopped at will, since they look at their clocks only when they act. The voters' clocks are
-/// as fast and the holders' as slow as the drift allows: with any others promises last longer, or leases less.
+/// Model of three voters and two lease holders under two different views. Every step that the assumptions
+/// allow is possible: a voter answers either holder at any time, also to a delayed request; the answer is
+/// lost; a voter restarts without memory; holders stall for any time, since they read their clocks only when
+/// they act. The voters' clocks are as fast and the holders' as slow as the drift bound allows; with any
+/// other rates, promises last longer or leases shorter.
 #[derive(Clone, Copy, Debug)]
 pub struct SupportWorld {
-    /// The rates of the holders' and of the voters' clocks, in steps a step of the world.
+    /// Clock rates of the holders and of the voters, in clock units for each [`SupportStep::Tick`].
     pub rates: [u64; 2],
-    /// What those rates were said to be.
+    /// Drift bound that the protocol is configured with.
     pub drift: f64,
-    /// A lease, in steps.
+    /// Lease duration in clock units.
     pub lease: u64,
-    /// Answers come up to so many steps of the world after they were asked for.
-    pub late: u64,
-    /// Voters start again.
+    /// Maximum age of a request when it is answered, in ticks.
+    pub max_delay: u64,
+    /// Whether voters restart.
     pub restarts: bool,
 }
 
 impl Default for SupportWorld {
     fn default() -> Self {
-        // A tenth wrong either way.
-        SupportWorld { rates: [9, 11], drift: 0.1, lease: 40, late: 2, restarts: true }
+        // Clocks are a tenth too slow or too fast.
+        SupportWorld { rates: [9, 11], drift: 0.1, lease: 40, max_delay: 2, restarts: true }
     }
 }
 
-/// A state of it. Clocks are set back with each step of the world, so that there are finitely many.
+/// State of [`SupportWorld`]. All clocks are rebased to `NOW` after each step, which keeps the state space
+/// finite.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SupportState {
     voters: Vec<Voter>,
     holders: Vec<Support>,
 }
 
-/// A step of it.
+/// Step of [`SupportWorld`].
 #[derive(Clone, Copy, Debug)]
 pub enum SupportStep {
-    /// Time passes.
-    Time,
-    /// A voter answers what a holder asked so many steps ago; the answer comes, or is lost.
+    /// Advances all clocks.
+    Tick,
+    /// A voter answers a holder's request; the answer arrives or is lost.
     Answer {
-        /// Which voter.
+        /// Index of the voter.
         voter: usize,
-        /// Which holder.
+        /// Index of the holder.
         holder: usize,
-        /// How long ago it asked.
+        /// Age of the request in ticks.
         age: u64,
-        /// Whether the answer comes.
-        comes: bool,
+        /// Whether the answer arrives.
+        answered: bool,
     },
-    /// A voter starts again.
+    /// A voter restarts without memory.
     Restart(usize),
 }
 
-/// What every clock reads.
+/// Reading of every clock in a state.
 const NOW: u64 = 1_000_000;
 
 impl SupportWorld {
@@ -71,8 +74,9 @@
     }
 
     fn roster() -> Option<Roster> {
-        let seat = |name: &&str| MemberConfig { name: (*name).to_owned(), zone: String::new(), votes: None };
-        Roster::new(1, NAMES.iter().map(seat).collect()).ok()
+        let config =
+            |name: &&str| MemberConfig { name: (*name).to_owned(), zone: String::new(), votes: None };
+        Roster::new(1, NAMES.iter().map(config).collect()).ok()
     }
 
     fn view(holder: usize) -> ViewId {
@@ -85,21 +89,21 @@
     type Step = SupportStep;
 
     fn initial_states(&self) -> Vec<SupportState> {
-        // All voters have run for long.
-        let free = Voter::new(0, self.lease()).rebased(NOW, 0);
+        // All voters have run for long enough to support a view.
+        let voter = Voter::new(0, self.lease()).rebased(NOW, 0);
         let mut holders = vec![Support::default(); 2];
         holders.iter_mut().enumerate().for_each(|(n, h)| h.set_view(Self::view(n)));
-        vec![SupportState { voters: vec![free; VOTERS], holders }]
+        vec![SupportState { voters: vec![voter; VOTERS], holders }]
     }
 
     fn steps(&self, _: &SupportState) -> Vec<SupportStep> {
-        let mut steps = vec![SupportStep::Time];
+        let mut steps = vec![SupportStep::Tick];
         for voter in 0..VOTERS {
             for holder in 0..2 {
-                for age in 0..=self.late {
-                    steps.push(SupportStep::Answer { voter, holder, age, comes: true });
+                for age in 0..=self.max_delay {
+                    steps.push(SupportStep::Answer { voter, holder, age, answered: true });
                 }
-                steps.push(SupportStep::Answer { voter, holder, age: 0, comes: false });
+                steps.push(SupportStep::Answer { voter, holder, age: 0, answered: false });
             }
             if self.restarts {
                 steps.push(SupportStep::Restart(voter));
@@ -111,16 +115,16 @@
     fn apply(&self, state: &SupportState, step: &SupportStep) -> SupportState {
         let mut next = state.clone();
         match *step {
-            SupportStep::Time => {
+            SupportStep::Tick => {
                 next.holders.iter_mut().for_each(|h| *h = h.rebased(NOW, self.rates[0]));
                 next.voters.iter_mut().for_each(|v| *v = v.rebased(NOW, self.rates[1]));
             }
-            SupportStep::Answer { voter, holder, age, comes } => {
+            SupportStep::Answer { voter, holder, age, answered } => {
                 let view = Self::view(holder);
-                if next.voters[voter].try_support(NOW, view, self.lease()) && comes {
-                    let asked = NOW - age * self.rates[0];
+                if next.voters[voter].try_support(NOW, view, self.lease()) && answered {
+                    let asked_at = NOW - age * self.rates[0];
                     let by = MemberId::from_name(NAMES[voter]);
-                    next.holders[holder].record_grant(by, view, asked, self.lease());
+                    next.holders[holder].record_grant(by, view, asked_at, self.lease());
                     next.holders[holder] = next.holders[holder].rebased(NOW, 0);
                 }
             }
@@ -131,52 +135,53 @@
 
     fn violation(&self, state: &SupportState) -> Option<String> {
         let roster = Self::roster()?;
-        let acts = |holder: usize| roster.is_majority(|id| state.holders[holder].is_valid(NOW, id));
-        (acts(0) && acts(1)).then(|| "two views act at once".to_owned())
+        let may_act = |holder: usize| roster.is_majority(|id| state.holders[holder].is_valid(NOW, id));
+        (may_act(0) && may_act(1)).then(|| "both holders may act at once, under different views".to_owned())
     }
 }
 
-/// Boots at most in the world of identity.
-const BOOTS: u64 = 5;
+/// Highest boot number that is explored in [`IdentityWorld`].
+const MAX_BOOT: u64 = 5;
 
-/// A member that starts again and again, with its folder kept, an old copy of it or none; two that hear of it; and
-/// every word that was ever said, which may come to anybody at any later time.
+/// Model of a member that restarts with its state folder kept, replaced by an older copy or emptied, and of
+/// two observers. Every record that was ever sent may be delivered to any of them at any later time.
 #[derive(Clone, Copy, Debug)]
 pub struct IdentityWorld {
-    /// Starts after the first.
-    pub starts: u8,
+    /// Number of restarts after the first start.
+    pub restarts: u8,
 }
 
-/// A state of it.
+/// State of [`IdentityWorld`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdentityState {
     folder: Vec<u64>,
     member: Identity,
-    /// A boot to be written.
-    owed: Option<u64>,
-    starts: u8,
-    /// Every word about it that was said.
-    words: Vec<Record>,
-    /// What the others hold, and the newest that they held.
+    /// Boot number that waits to be written to the folder.
+    pending_boot: Option<u64>,
+    restarts: u8,
+    /// Every record of the member that was sent.
+    records: Vec<Record>,
+    /// Record that each observer holds.
     held: [Record; 2],
+    /// Newest incarnation that each observer has held.
     newest: [Incarnation; 2],
 }
 
-/// A step of it.
+/// Step of [`IdentityWorld`].
 #[derive(Clone, Copy, Debug)]
 pub enum IdentityStep {
-    /// The member says what it is.
-    Speak,
-    /// A word comes to one of the others,
-    Hear(usize, usize),
-    /// or to the member itself.
-    Own(usize),
-    /// One of the others suspects it, or holds it for dead.
-    Doubt(usize, Health),
-    /// The folder takes the boot that is owed.
-    Written,
-    /// The member ends and starts with its folder cut to so many boots.
-    Start(usize),
+    /// The member sends its own record.
+    Announce,
+    /// A record (by index) is delivered to an observer.
+    Deliver(usize, usize),
+    /// A record (by index) is delivered to the member itself.
+    DeliverToSelf(usize),
+    /// An observer changes the health that it holds of the member.
+    Suspect(usize, Health),
+    /// The pending boot number is written to the folder.
+    BootPersisted,
+    /// The member restarts with its folder truncated to this number of boots.
+    Restart(usize),
 }
 
 impl World for IdentityWorld {
@@ -187,9 +192,9 @@
         vec![IdentityState {
             folder: vec![1],
             member: Identity::new(1, InstanceId(1)),
-            owed: None,
-            starts: 0,
-            words: Vec::new(),
+            pending_boot: None,
+            restarts: 0,
+            records: Vec::new(),
             held: [Record::default(); 2],
             newest: [Incarnation::default(); 2],
         }]
@@ -197,25 +202,29 @@
 
     fn steps(&self, s: &IdentityState) -> Vec<IdentityStep> {
         let mut steps = Vec::new();
-        if !s.member.is_muted() && !s.words.contains(&s.member.record()) {
-            steps.push(IdentityStep::Speak);
+        if !s.member.is_muted() && !s.records.contains(&s.member.record()) {
+            steps.push(IdentityStep::Announce);
         }
-        for word in 0..s.words.len() {
-            steps.extend([IdentityStep::Hear(0, word), IdentityStep::Hear(1, word), IdentityStep::Own(word)]);
+        for index in 0..s.records.len() {
+            steps.extend([
+                IdentityStep::Deliver(0, index),
+                IdentityStep::Deliver(1, index),
+                IdentityStep::DeliverToSelf(index),
+            ]);
         }
         for other in 0..2 {
             if s.held[other].health == Health::Alive {
-                steps.push(IdentityStep::Doubt(other, Health::Dead));
+                steps.push(IdentityStep::Suspect(other, Health::Dead));
             }
         }
-        if s.owed.is_some() {
-            steps.push(IdentityStep::Written);
+        if s.pending_boot.is_some() {
+            steps.push(IdentityStep::BootPersisted);
         }
-        if s.starts < self.starts {
-            // Kept, an older copy, emptied.
+        if s.restarts < self.restarts {
+            // The folder is kept, replaced by an older copy, or emptied.
             let mut cuts = vec![s.folder.len(), s.folder.len().saturating_sub(1), 0];
             cuts.dedup();
-            steps.extend(cuts.into_iter().map(IdentityStep::Start));
+            steps.extend(cuts.into_iter().map(IdentityStep::Restart));
         }
         steps
     }
@@ -223,30 +232,30 @@
     fn apply(&self, state: &IdentityState, step: &IdentityStep) -> IdentityState {
         let mut s = state.clone();
         match *step {
-            IdentityStep::Speak => say(&mut s, state.member.record()),
-            IdentityStep::Hear(other, word) => hold(&mut s, other, state.words[word]),
-            IdentityStep::Own(word) => match s.member.observe(0, &state.words[word]) {
-                SelfUpdate::Persist(boot) => s.owed = Some(boot),
+            IdentityStep::Announce => publish(&mut s, state.member.record()),
+            IdentityStep::Deliver(other, index) => merge_record(&mut s, other, state.records[index]),
+            IdentityStep::DeliverToSelf(index) => match s.member.observe(0, &state.records[index]) {
+                SelfUpdate::Persist(boot) => s.pending_boot = Some(boot),
                 SelfUpdate::Refuted | SelfUpdate::Unchanged => {}
             },
-            IdentityStep::Doubt(other, health) => {
-                let word = Record { health, ..state.held[other] };
-                hold(&mut s, other, word);
-                say(&mut s, word);
+            IdentityStep::Suspect(other, health) => {
+                let record = Record { health, ..state.held[other] };
+                merge_record(&mut s, other, record);
+                publish(&mut s, record);
             }
-            IdentityStep::Written => {
-                if let Some(boot) = s.owed.take() {
+            IdentityStep::BootPersisted => {
+                if let Some(boot) = s.pending_boot.take() {
                     s.folder.push(boot);
                     s.member.boot_persisted(boot);
                 }
             }
-            IdentityStep::Start(kept) => {
-                s.folder.truncate(kept);
+            IdentityStep::Restart(kept_boots) => {
+                s.folder.truncate(kept_boots);
                 let boot = s.folder.last().copied().unwrap_or(0) + 1;
                 s.folder.push(boot);
-                s.starts += 1;
-                s.owed = None;
-                s.member = Identity::new(boot, InstanceId(u64::from(s.starts) + 1));
+                s.restarts += 1;
+                s.pending_boot = None;
+                s.member = Identity::new(boot, InstanceId(u64::from(s.restarts) + 1));
             }
         }
         s
@@ -255,41 +264,49 @@
     fn violation(&self, s: &IdentityState) -> Option<String> {
         let record = s.member.record();
         if !s.member.is_muted() && !s.folder.contains(&record.incarnation.boot) {
-            return Some(format!("speaks as {} with {:?} on disk", record.incarnation, s.folder));
+            return Some(format!("runs as {} with boots {:?} on disk", record.incarnation, s.folder));
         }
-        if record.incarnation.boot > BOOTS {
+        if record.incarnation.boot > MAX_BOOT {
             return None;
         }
         for other in 0..2 {
             if s.held[other].incarnation < s.newest[other] {
-                return Some(format!("{} counts after {}", s.held[other].incarnation, s.newest[other]));
+                return Some(format!(
+                    "an observer holds {} after {}",
+                    s.held[other].incarnation, s.newest[other]
+                ));
             }
         }
-        // However it began: once it has heard the newest word, what it says next counts everywhere.
-        let newest = s.words.iter().copied().max()?;
+        // Whatever its start was: once the member has received the newest record, its own next record
+        // outweighs all others.
+        let newest = s.records.iter().copied().max()?;
         let mut after = s.member.clone();
-        s.owed.into_iter().for_each(|boot| after.boot_persisted(boot));
+        s.pending_boot.into_iter().for_each(|boot| after.boot_persisted(boot));
         for _ in 0..2 {
             if let SelfUpdate::Persist(boot) = after.observe(0, &newest) {
                 after.boot_persisted(boot);
             }
         }
-        let said = after.record();
-        let other = newest.instance != said.instance && !after.has_duplicate(0, u64::MAX);
-        (other && said.merge(newest) != said).then(|| format!("{said:?} does not outweigh {newest:?}"))
+        let own = after.record();
+        let is_other_instance = newest.instance != own.instance && !after.has_duplicate(0, u64::MAX);
+        (is_other_instance && own.merge(newest) != own)
+            .then(|| format!("{own:?} does not outweigh {newest:?}"))
     }
 }
 
-/// Every word stays on its way: it may come again at any later time.
-fn say(s: &mut IdentityState, word: Record) {
-    if word.incarnation.boot <= BOOTS && word.incarnation.refutations <= 1 && !s.words.contains(&word) {
-        s.words.push(word);
-        s.words.sort();
+/// Adds a record to those in the network, where it stays: it may be delivered any number of times.
+fn publish(s: &mut IdentityState, record: Record) {
+    if record.incarnation.boot <= MAX_BOOT
+        && record.incarnation.refutations <= 1
+        && !s.records.contains(&record)
+    {
+        s.records.push(record);
+        s.records.sort();
     }
 }
 
-fn hold(s: &mut IdentityState, other: usize, word: Record) {
-    let held = s.held[other].merge(word);
+fn merge_record(s: &mut IdentityState, other: usize, record: Record) {
+    let held = s.held[other].merge(record);
     s.held[other] = held;
-    s.newest[other] = s.newest[other].max(word.incarnation).max(held.incarnation);
+    s.newest[other] = s.newest[other].max(record.incarnation).max(held.incarnation);
 }
--- a/crates/attack/tests/duties.rs
+++ b/crates/attack/tests/duties.rs
@@ -1,26 +1,29 @@
-//! Duties under attack, as CI plays it; `attack duties` plays more.
+//! Duties: the fault schedules and searches that CI runs; `attack duties` runs more.
 
-use yarrowhill_attack::{DutyWorld, play_duties};
+use yarrowhill_attack::{DutyWorld, run_duties_schedule};
 use yarrowhill_kernel::search;
 
-/// States at most of each small world here.
-const MOST: usize = 150_000;
+/// Maximum number of states of each model in these tests.
+const MAX_STATES: usize = 150_000;
 
 #[test]
-fn no_schedule_lets_two_hold_a_duty_or_loses_a_step() {
+fn keeps_one_holder_and_all_steps_under_seeded_faults() {
     for seed in 0..60 {
-        play_duties(seed).unwrap_or_else(|breach| panic!("seed {seed}: {breach}"));
+        run_duties_schedule(seed).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
 
 #[test]
-fn no_way_of_a_small_world_lets_two_hold_a_duty() {
-    let plain = DutyWorld::default();
-    for world in [plain, DutyWorld { wipes: 1, restarts: 0, renewals: 0, ..plain }] {
-        let found = search(&world, MOST);
+fn keeps_one_holder_in_every_explored_state() {
+    let base = DutyWorld::default();
+    for model in [base, DutyWorld { folder_losses: 1, restarts: 0, renewals: 0, ..base }] {
+        let found = search(&model, MAX_STATES);
         assert!(found.violation.is_none(), "{found:?}");
     }
-    // The same with clocks worse than they were said to be.
-    let worse = DutyWorld { drift: 0.0, restarts: 0, renewals: 0, ..plain };
-    assert!(search(&worse, 2 * MOST).violation.is_some(), "a search that finds nothing proves nothing");
+    // Clocks that drift more than the configured bound must lead to a violation.
+    let excessive_drift = DutyWorld { drift: 0.0, restarts: 0, renewals: 0, ..base };
+    assert!(
+        search(&excessive_drift, 2 * MAX_STATES).violation.is_some(),
+        "the search must find the violation that excessive drift causes"
+    );
 }
--- a/crates/attack/tests/returns.rs
+++ b/crates/attack/tests/returns.rs
@@ -1,20 +1,28 @@
-//! Outages and returns under attack, as CI plays it; `attack returns` plays more.
+//! Outage and return of a destination: the fault schedules and measurements that CI runs; `attack returns`
+//! runs more.
 
-use yarrowhill_attack::{Way, measure_return, play_return};
+use yarrowhill_attack::{RecoveryMode, measure_return, run_return_schedule};
 
-/// Whoever starts in the midst of an outage calls nobody but as the one that tries, whatever is lost; and nobody is pushed over.
+/// A member that starts during an outage calls the destination only to probe it, whatever packets are lost,
+/// and the destination is not overloaded after its return.
 #[test]
-fn a_newcomer_calls_nobody_who_is_down_and_none_is_pushed_over() {
+fn restarted_member_only_probes_and_destination_is_not_overloaded() {
     for seed in 0..100 {
-        play_return(seed).unwrap_or_else(|breach| panic!("seed {seed}: {breach}"));
+        run_return_schedule(seed).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
 
 #[test]
-fn one_tries_for_all_and_all_are_back_sooner() {
-    let (together, apart) = (measure_return(100, Way::Together, 1), measure_return(100, Way::Apart, 1));
-    assert!(together.tried <= 24, "{together}");
-    assert!(apart.tried > 5 * together.tried, "{apart}");
-    let full = |of: &yarrowhill_attack::ReturnFigures| of.full.unwrap_or(f64::INFINITY);
-    assert!(together.pushed < 1.0 && full(&together) <= full(&apart), "{together}, {apart}");
+fn coordinated_recovery_probes_less_and_returns_no_later() {
+    let (coordinated, independent) = (
+        measure_return(100, RecoveryMode::Coordinated, 1),
+        measure_return(100, RecoveryMode::Independent, 1),
+    );
+    assert!(coordinated.calls_while_down <= 24, "{coordinated}");
+    assert!(independent.calls_while_down > 5 * coordinated.calls_while_down, "{independent}");
+    let full = |of: &yarrowhill_attack::ReturnStats| of.full_use_secs.unwrap_or(f64::INFINITY);
+    assert!(
+        coordinated.peak_load < 1.0 && full(&coordinated) <= full(&independent),
+        "{coordinated}, {independent}"
+    );
 }
--- a/crates/attack/tests/rights.rs
+++ b/crates/attack/tests/rights.rs
@@ -1,32 +1,38 @@
-//! Rights under attack, as CI plays it; `attack rights` and `attack search` play more.
+//! Shared limits: the fault schedules and searches that CI runs; `attack rights` and `attack search` run
+//! more.
 
-use yarrowhill_attack::{Even, RightsWorld, measure_rights, play_rights};
+use yarrowhill_attack::{LimitDivision, RightsWorld, measure_rights, run_rights_schedule};
 use yarrowhill_kernel::search;
 
 #[test]
-fn no_schedule_lets_more_be_used_than_there_is() {
+fn keeps_use_within_the_limit_under_seeded_faults() {
     for seed in 0..150 {
-        play_rights(seed).unwrap_or_else(|breach| panic!("seed {seed}: {breach}"));
+        run_rights_schedule(seed).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
 
 #[test]
-fn no_way_of_a_small_world_lets_more_be_used_than_there_is() {
-    for keepers in [[9, 9], [9, 11], [11, 11]] {
-        let world = RightsWorld { keepers, borrowers: 1, ..RightsWorld::default() };
-        let found = search(&world, 2_000_000);
+fn keeps_rights_within_the_limit_in_every_state() {
+    for coordinators in [[9, 9], [9, 11], [11, 11]] {
+        let model = RightsWorld { coordinators, borrowers: 1, ..RightsWorld::default() };
+        let found = search(&model, 2_000_000);
         assert!(found.complete && found.violation.is_none(), "{found:?}");
     }
-    // The same with clocks worse than they were said to be.
-    let worse = RightsWorld { drift: 0.0, borrowers: 1, ..RightsWorld::default() };
-    assert!(search(&worse, 2_000_000).violation.is_some(), "a search that finds nothing proves nothing");
+    // Clocks that drift more than the configured bound must lead to a violation.
+    let excessive_drift = RightsWorld { drift: 0.0, borrowers: 1, ..RightsWorld::default() };
+    assert!(
+        search(&excessive_drift, 2_000_000).violation.is_some(),
+        "the search must find the violation that excessive drift causes"
+    );
 }
 
 #[test]
-fn a_limit_is_used_where_the_traffic_is() {
-    let (rights, split) = (measure_rights(30, Even::Rights, 1), measure_rights(30, Even::Split, 1));
-    assert!(rights.third >= 0.95 && rights.few >= 0.95, "{rights}");
-    assert!(split.third < 0.75, "{split}");
-    // Demand is counted with a half-life of two grants: moved within two of those, and the round on which it is told.
-    assert!(rights.most <= 1.0 && rights.moved.is_some_and(|s| s < 5.0), "{rights}");
+fn moves_rights_to_where_the_traffic_is() {
+    let (lending, fixed) =
+        (measure_rights(30, LimitDivision::Lending, 1), measure_rights(30, LimitDivision::Fixed, 1));
+    assert!(lending.one_hot >= 0.95 && lending.few_active >= 0.95, "{lending}");
+    assert!(fixed.one_hot < 0.75, "{fixed}");
+    // Demand decays with a half-life of two grants: rights follow within two half-lives and the round that
+    // reports demand.
+    assert!(lending.peak <= 1.0 && lending.shift_secs.is_some_and(|s| s < 5.0), "{lending}");
 }
