--- a/crates/attack/src/bin/attack.rs
+++ b/crates/attack/src/bin/attack.rs
@@ -126,7 +126,7 @@
                 schedule.healed_at as f64 / 1e6
             );
             let result = run_schedule(&schedule);
-            result.iter().for_each(|()| println!("all properties hold"));
+            result.iter().for_each(|()| println!("held"));
             result.map_err(|violation| println!("{violation}")).is_ok()
         }
         Command::Search { max_states } => {
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -1,4 +1,4 @@
-//! Appends to the journal against plain writes of the same bytes.
+//! Compares journal appends with plain writes of the same number of bytes.
 
 use std::error::Error;
 use std::fs::{self, OpenOptions};
@@ -27,7 +27,7 @@
             deadline: NOW + 12_000,
             body: vec![b'm'; 200].into(),
         };
-        // One message's whole life in one turn: taken on, sent, over.
+        // The life cycle of one message: accepted and sent in one commit, its end with the next.
         let sent = Record::Sent(id.clone(), 0, NOW, "hall-a".into());
         journal.commit(&[Record::Accepted(accepted), sent], NOW)?;
         sizes.push(journal.size().saturating_sub(before));
@@ -45,7 +45,7 @@
     fs::remove_dir_all(&folder)?;
     let micros = |s: f64| s * 1e6 / turns as f64;
     println!(
-        "{turns} turns: journal {:.2} us a turn, plain write(2) {:.2} us",
+        "{turns} turns: journal {:.2} us per turn, plain write(2) {:.2} us",
         micros(appends),
         micros(writes)
     );
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,10 +1,11 @@
-//! Measures one thing beside another, in the same run: absolute times are noise.
+//! Benchmarks that compare two implementations or two sizes in the same run, since absolute times depend on
+//! the machine.
 //!
-//! - `daemon`: messages a second and CPU time for each, the daemon against a bare hyper pass-through, one core each
-//! - `recover`: how long a start takes with much to take up, and how much memory
-//! - `scale`: what a message costs the engine, by how many are open and how many ends bind
-//! - `routes`: a message's rule by the index against the plain list, an address by the trie against a scan
-//! - `journal`: appends against plain `write(2)` of the same bytes
+//! - `daemon`: throughput and CPU time per message, the daemon against a bare hyper pass-through, one core each
+//! - `recover`: time and memory of a start with a large journal
+//! - `scale`: engine time per message, by the number of open messages and of recorded ends
+//! - `routes`: rule lookup by the index against a list scan, address match by the trie against a scan
+//! - `journal`: journal appends against plain `write(2)` of the same number of bytes
 
 mod daemon;
 mod journal;
@@ -16,7 +17,7 @@
 use clap::{Parser, Subcommand};
 use std::error::Error;
 
-/// Ratios, not times.
+/// Benchmarks of the forwarder. Compare the printed ratios; absolute times depend on the machine.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -25,53 +26,53 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The daemon against a bare pass-through.
+    /// Compares the daemon with a bare pass-through.
     Daemon {
-        /// Messages in each round.
+        /// Number of messages in each round.
         #[arg(long, default_value_t = 30_000, value_parser = clap::value_parser!(u64).range(1..=2_000_000))]
         messages: u64,
-        /// Clients, each with one connection and one request at a time.
+        /// Number of clients, each with one connection and one request at a time.
         #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u64).range(1..=512))]
         clients: u64,
-        /// Rounds of each, in turn.
+        /// Number of rounds of each program, run alternately.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=20))]
         rounds: u64,
     },
-    /// Appends to the journal against plain writes.
+    /// Compares journal appends with plain writes.
     Journal {
-        /// Turns in each round.
+        /// Number of turns, with one commit each.
         #[arg(long, default_value_t = 50_000, value_parser = clap::value_parser!(u64).range(1..=2_000_000))]
         turns: u64,
     },
-    /// Opens a journal with many ends and many open messages, in a process of its own.
+    /// Measures the opening of a journal with many recorded ends and open messages, in a process of its own.
     Recover {
-        /// Ends that bind.
+        /// Number of recorded ends that are still kept for deduplication.
         #[arg(long, default_value_t = 1_000_000, value_parser = clap::value_parser!(u64).range(0..=10_000_000))]
         ends: u64,
-        /// Open messages.
+        /// Number of open messages.
         #[arg(long, default_value_t = 100_000, value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
         open: u64,
     },
-    /// Routing lookups against plain lists.
+    /// Compares routing lookups with list scans.
     Routes,
-    /// What a message costs, by how many others are open and how many ends bind.
+    /// Measures engine time per message, by the number of open messages and of recorded ends.
     Scale {
-        /// Where the picture goes.
+        /// Path of the SVG plot to write.
         #[arg(long, default_value = "scale.svg")]
         plot: std::path::PathBuf,
     },
-    /// The start that `recover` measures.
+    /// Opens a journal and reports the cost; run by `recover`.
     #[command(hide = true)]
     Reopen {
-        /// The journal's folder.
+        /// Journal folder.
         folder: std::path::PathBuf,
     },
-    /// Forwards every request on a kept connection: what `daemon` compares with.
+    /// Forwards every request over persistent connections; the baseline of `daemon`.
     #[command(hide = true)]
     Passthrough {
-        /// Where it listens.
+        /// Address to listen on.
         listen: std::net::SocketAddr,
-        /// Where it sends.
+        /// Address of the endpoint.
         to: std::net::SocketAddr,
     },
 }
--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,4 +1,5 @@
-//! Routing: the index beside the plain list, the trie beside the plain scan, and how long a check takes.
+//! Compares rule lookup by the index with a list scan, and address match by the trie with a scan. Also
+//! measures the time to read and check a document.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -7,22 +8,22 @@
 use std::time::{Duration, Instant};
 use yarrowhill_routes::{Message, PrefixSet, Router, parse};
 
-/// Each is measured for about so long.
-const SPAN: Duration = Duration::from_millis(300);
+/// Approximate duration of each measurement.
+const MEASURE_TIME: Duration = Duration::from_millis(300);
 
-/// Nanoseconds a turn, for turns that are told their number.
-fn nanos(mut turn: impl FnMut(u32)) -> f64 {
-    let (start, mut turns) = (Instant::now(), 0u32);
-    while start.elapsed() < SPAN {
+/// Returns the nanoseconds per call of `operation`, which gets the number of the call.
+fn nanos_per_iteration(mut operation: impl FnMut(u32)) -> f64 {
+    let (start, mut iterations) = (Instant::now(), 0u32);
+    while start.elapsed() < MEASURE_TIME {
         for _ in 0..16 {
-            turn(turns);
-            turns = turns.wrapping_add(1);
+            operation(iterations);
+            iterations = iterations.wrapping_add(1);
         }
     }
-    start.elapsed().as_secs_f64() * 1e9 / f64::from(turns)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(iterations)
 }
 
-/// Rules by class and partner, each partner with a few.
+/// Returns a document with `rules` rules by partner and owner, five for each partner.
 fn document(rules: usize) -> String {
     let mut text = String::new();
     for partner in 0..rules.div_ceil(5) {
@@ -38,14 +39,14 @@
     text
 }
 
-/// Prints the table.
+/// Prints the comparison tables.
 pub fn compare() -> Result<(), Box<dyn Error>> {
-    println!("lookup of a message (ns): index, plain list, ratio; reading and checking the document (ms)");
+    println!("rule lookup (ns): index, list scan, ratio; reading and checking the document (ms)");
     for rules in [10usize, 1_000, 10_000] {
         let text = document(rules);
         let start = Instant::now();
         let routes = parse(&[("bench.kdl".into(), text)]).map_err(|faults| faults[0].to_string())?;
-        let took = start.elapsed().as_secs_f64() * 1e3;
+        let check_ms = start.elapsed().as_secs_f64() * 1e3;
         let router = Router::new(routes);
         let partners = rules.div_ceil(5) as u32;
         let owners = ["o0", "o1", "o2", "o3", "o4"];
@@ -55,15 +56,15 @@
             dest: u64::from(n.wrapping_mul(2_654_435_761) % partners),
             ..Message::default()
         };
-        let index = nanos(|n| {
+        let index = nanos_per_iteration(|n| {
             black_box(router.route(&message(n)));
         });
-        let list = nanos(|n| {
+        let list = nanos_per_iteration(|n| {
             black_box(router.route_by_scan(&message(n)));
         });
-        println!("{rules:7} rules: {index:9.0} {list:9.0} {:7.1}x {took:9.1} ms", list / index);
+        println!("{rules:7} rules: {index:9.0} {list:9.0} {:7.1}x {check_ms:9.1} ms", list / index);
     }
-    println!("match of an address (ns): trie, plain scan, ratio");
+    println!("address match (ns): trie, scan, ratio");
     for prefixes in [10u32, 1_000, 100_000] {
         let nets: Vec<ipnet::IpNet> = (0..prefixes)
             .map(|n| {
@@ -72,10 +73,10 @@
             .collect::<Result<_, _>>()?;
         let set: PrefixSet = nets.iter().copied().collect();
         let address = |n: u32| IpAddr::V4(Ipv4Addr::from(n.wrapping_mul(0x9e37_79b9)));
-        let trie = nanos(|n| {
+        let trie = nanos_per_iteration(|n| {
             black_box(set.contains(address(n)));
         });
-        let scan = nanos(|n| {
+        let scan = nanos_per_iteration(|n| {
             black_box(nets.iter().any(|net| net.contains(&address(n))));
         });
         println!("{prefixes:7} prefixes: {trie:9.0} {scan:9.0} {:7.1}x", scan / trie);
--- a/crates/fuzz/src/lib.rs
+++ b/crates/fuzz/src/lib.rs
@@ -1,5 +1,5 @@
-//! Targets that take any bytes of what sockets and files bring. Each is a test of its own under `tests`, with its
-//! corpus beside it; `cargo bolero` runs the same with coverage as guide.
+//! Fuzz targets for all inputs that come from sockets and files. Each target is a test of its own under
+//! `tests` with its corpus next to it; `cargo bolero` runs the same targets with coverage guidance.
 
 mod target;
 
@@ -9,34 +9,34 @@
 use std::panic::{RefUnwindSafe, UnwindSafe};
 use tokio::runtime::{Builder, Runtime};
 
-/// A target with the runtime that it needs.
+/// A fuzz target together with its Tokio runtime.
 pub struct Fuzz {
     target: Target,
     runtime: Runtime,
 }
 
-// A panic is the end of it: nothing looks at it afterwards.
+// A panic ends the run, and the value is not used afterwards.
 impl UnwindSafe for Fuzz {}
 impl RefUnwindSafe for Fuzz {}
 
 impl Fuzz {
-    /// The target of that name.
+    /// Starts the target with this name.
     ///
     /// # Errors
     ///
-    /// There is none, or it can't be started.
+    /// Fails if there is no such target, or if it cannot be started.
     pub fn start(name: &str) -> io::Result<Self> {
         let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        let target = runtime.block_on(Target::named(name))?;
+        let target = runtime.block_on(Target::from_name(name))?;
         Ok(Fuzz { target, runtime })
     }
 
-    /// Takes an input.
+    /// Runs the target on an input.
     ///
     /// # Panics
     ///
-    /// The program did, or did not come to an end.
-    pub fn take(&self, input: &[u8]) {
-        self.runtime.block_on(self.target.take(input));
+    /// Panics if the code under test panics, violates a property or does not finish in time.
+    pub fn run(&self, input: &[u8]) {
+        self.runtime.block_on(self.target.run(input));
     }
 }
--- a/crates/fuzz/src/target.rs
+++ b/crates/fuzz/src/target.rs
@@ -1,4 +1,4 @@
-//! What is fuzzed.
+//! Fuzz targets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,73 +21,73 @@
 };
 use yarrowhill_standins::{Class, ConfigParams, Resources, configuration};
 
-/// Longer than anything that peers can make the program wait for.
-const SOON: Duration = Duration::from_secs(20);
+/// Longer than any time for which a peer can make the program wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Something that takes any bytes.
+/// A fuzz target; it accepts any bytes.
 pub enum Target {
-    /// A journal's file.
+    /// A journal file.
     Journal,
     /// A configuration file.
     Config,
-    /// A client's requests, over loopback.
+    /// Requests of a client, over loopback.
     Heads {
-        /// Where the intake listens.
+        /// Address of the intake.
         to: SocketAddr,
-        /// It must never end.
+        /// Task of the intake, which must never end.
         serving: JoinHandle<()>,
-        /// Keeps it open.
+        /// Keeps the phase channel of the intake open.
         _phase: watch::Sender<Phase>,
     },
-    /// An endpoint's answer, over loopback.
+    /// Answers of an endpoint, over loopback. Holds the number of runs.
     Answers(AtomicU64),
-    /// What another forwarder says, as a packet and as a whole view.
+    /// Message of another forwarder, decoded as a packet and as a full state.
     Packets,
 }
 
 impl Target {
-    /// Their names, and those of their corpora's folders.
+    /// Names of the targets and of their corpus folders.
     pub const NAMES: [&str; 5] = ["journal", "config", "heads", "answers", "packets"];
 
-    /// The one of that name.
+    /// Creates the target with this name.
     ///
     /// # Errors
     ///
-    /// There is none, or no port can be had.
-    pub async fn named(name: &str) -> io::Result<Self> {
+    /// Fails if there is no such target, or if no port can be bound.
+    pub async fn from_name(name: &str) -> io::Result<Self> {
         match name {
             "journal" => Ok(Target::Journal),
             "config" => Ok(Target::Config),
-            "heads" => heads().await,
+            "heads" => start_intake().await,
             "answers" => Ok(Target::Answers(AtomicU64::new(0))),
             "packets" => Ok(Target::Packets),
-            _ => Err(io::Error::other(format!("no target {name}"))),
+            _ => Err(io::Error::other(format!("unknown fuzz target {name:?}"))),
         }
     }
 
-    /// Takes an input.
+    /// Runs the target on an input.
     ///
     /// # Panics
     ///
-    /// The program did, or did not come to an end.
-    pub async fn take(&self, input: &[u8]) {
+    /// Panics if the code under test panics, violates a property or does not finish in time.
+    pub async fn run(&self, input: &[u8]) {
         match self {
             Target::Journal => drop(yarrowhill_journal::scan_bytes(input)),
             Target::Config => drop(Config::parse(input, PathBuf::new(), Path::new("fuzz"))),
             Target::Heads { to, serving, .. } => {
-                ask(*to, input).await;
+                send_request(*to, input).await;
                 assert!(!serving.is_finished(), "the intake has ended");
             }
-            Target::Packets => packets(input),
-            Target::Answers(calls) => call(calls.fetch_add(1, Ordering::Relaxed), input).await,
+            Target::Packets => receive_packet(input),
+            Target::Answers(calls) => answer_calls(calls.fetch_add(1, Ordering::Relaxed), input).await,
         }
     }
 }
 
-/// The intake before an engine that refuses everything.
-async fn heads() -> io::Result<Target> {
+/// Starts an intake in front of an engine that refuses every message.
+async fn start_intake() -> io::Result<Target> {
     let class = |name, idempotency| Class { name, idempotency, deadline_ms: 1000 };
-    let figures = ConfigParams {
+    let params = ConfigParams {
         classes: vec![class("auth-notice", "token"), class("settle-order", "side_effect")],
         key_ttl_ms: 1000.0,
         goal_time_ms: 100.0,
@@ -96,15 +96,15 @@
         seed: 1,
         resources: Resources::default(),
     };
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let config = configuration(&figures, nowhere, nowhere, &[]);
-    let read = yarrowhill_settings::from_json(&config["settings"]);
-    let (settings, names) = read.map_err(|e| io::Error::other(e.to_string()))?;
-    let (inputs, mut received) = channel(64);
+    let unused = SocketAddr::from(([127, 0, 0, 1], 1));
+    let config = configuration(&params, unused, unused, &[]);
+    let parsed = yarrowhill_settings::from_json(&config["settings"]);
+    let (settings, names) = parsed.map_err(|e| io::Error::other(e.to_string()))?;
+    let (inputs, mut submissions) = channel(64);
     tokio::spawn(async move {
-        while let Some(input) = received.recv().await {
+        while let Some(input) = submissions.recv().await {
             if let Input::Submission(message) = input {
-                // Its client may have left.
+                // The client may have disconnected.
                 let _ = message.answer.send(Answer::Refused(None));
             }
         }
@@ -117,8 +117,8 @@
     Ok(Target::Heads { to, serving, _phase: phase })
 }
 
-/// Says it to the intake, and hears whatever it says.
-async fn ask(to: SocketAddr, input: &[u8]) {
+/// Sends the input to the intake and reads until the intake closes the connection.
+async fn send_request(to: SocketAddr, input: &[u8]) {
     let exchange = async {
         let mut stream = TcpStream::connect(to).await.ok()?;
         stream.write_all(input).await.ok()?;
@@ -126,19 +126,22 @@
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.ok()
     };
-    assert!(timeout(SOON, exchange).await.is_ok(), "a client is owed an error or a close");
+    assert!(
+        timeout(TIMEOUT, exchange).await.is_ok(),
+        "the intake must answer or close the connection in time"
+    );
 }
 
-/// Answers two calls on one connection with it, and waits for the end of every attempt.
-async fn call(number: u64, input: &[u8]) {
+/// Answers two calls of a connection pool with the input, and waits for the end of every attempt.
+async fn answer_calls(number: u64, input: &[u8]) {
     let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
     let Ok(to) = listener.local_addr() else { return };
-    let text = input.to_vec();
+    let response = input.to_vec();
     let endpoint = tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut request = [0; 4096];
             while stream.read(&mut request).await.is_ok_and(|n| n > 0) {
-                if stream.write_all(&text).await.is_err() {
+                if stream.write_all(&response).await.is_err() {
                     break;
                 }
             }
@@ -146,7 +149,7 @@
     });
     let mut pool = Pool::new(4, Duration::from_secs(5));
     pool.set_endpoint_address(1, Some(to));
-    let (results, mut ends) = mpsc::channel(64);
+    let (results, mut updates) = mpsc::channel(64);
     for round in 0..2u64 {
         let items = 1 + (number + round) % 3;
         let (_orders, orders) = channel(1);
@@ -162,7 +165,7 @@
             is_retry: false,
         };
         let items: Vec<Item> = (0..items).map(item).collect();
-        let mut left = items.len();
+        let mut pending = items.len();
         let connect_timeout = Duration::from_secs(1);
         let call = Call {
             endpoint: 1,
@@ -176,38 +179,45 @@
             commands: orders,
         };
         pool.start_call(call, results.clone());
-        while left > 0 {
-            let end = timeout(SOON, ends.recv()).await.expect("every attempt ends").expect("it is open");
-            if let Input::CallUpdate(end) = end {
-                left = left.checked_sub(end.ended.len()).expect("no attempt ends twice");
+        while pending > 0 {
+            let update = timeout(TIMEOUT, updates.recv())
+                .await
+                .expect("every attempt must end")
+                .expect("the channel is open");
+            if let Input::CallUpdate(update) = update {
+                pending = pending.checked_sub(update.ended.len()).expect("no attempt may end twice");
             }
         }
     }
     endpoint.abort();
 }
 
-/// A member that hears it, and goes on.
-fn packets(input: &[u8]) {
-    let seat = |name: &str| MemberConfig { name: name.to_owned(), zone: String::new(), votes: None };
-    let roster = Roster::new(1, ["n0", "n1", "n2"].map(seat).to_vec()).expect("a roster");
+/// Delivers the input to a member, which must continue with bounded output.
+fn receive_packet(input: &[u8]) {
+    let config_of = |name: &str| MemberConfig { name: name.to_owned(), zone: String::new(), votes: None };
+    let roster = Roster::new(1, ["n0", "n1", "n2"].map(config_of).to_vec()).expect("a valid roster");
     let mut member = Membership::new(0, roster, "n0", 1, InstanceId(1), Timing::from_period(1000), 1)
-        .expect("it is a member");
+        .expect("n0 is in the roster");
     if let Ok(packet) = decode::<Packet>(input, MAX_PACKET_BYTES) {
-        // Said twice, since much is answered the first time alone.
+        // Delivered twice, since many packets are answered only the first time.
         member.handle(1, packet.clone());
         member.handle(2, packet);
     }
-    if let Ok(whole) = decode::<FullState>(input, MAX_FULL_STATE_BYTES) {
-        member.merge_full_state(3, whole);
+    if let Ok(full_state) = decode::<FullState>(input, MAX_FULL_STATE_BYTES) {
+        member.merge_full_state(3, full_state);
     }
     (0..20).for_each(|n| member.tick(n * 500));
     let outputs = member.take_outputs();
-    assert!(outputs.len() < 1000, "{} things to do after one packet", outputs.len());
+    assert!(outputs.len() < 1000, "{} outputs after one packet", outputs.len());
     for output in outputs {
         if let Output::Send { packet, .. } = output {
-            assert!(encode(&packet, MAX_PACKET_BYTES).is_ok(), "a packet that is too long");
+            assert!(
+                encode(&packet, MAX_PACKET_BYTES).is_ok(),
+                "the member sent a packet over the maximum size"
+            );
         }
     }
-    // Nobody can take it to where it is not heard any more, and nobody comes who is not in the roster.
+    // No packet may raise the incarnation so far that other members reject it, or add members that are not in
+    // the roster.
     assert!(member.local_record().incarnation.is_plausible() && member.view().members.len() <= 3);
 }
--- a/crates/fuzz/tests/journal/main.rs
+++ b/crates/fuzz/tests/journal/main.rs
@@ -1,9 +1,9 @@
-//! A journal's file: whatever stands there, nothing panics. Its corpus, and some random bytes; with coverage as guide:
+//! Journal files: no input may cause a panic. Runs the corpus and some random inputs. With coverage guidance:
 //! `cargo bolero test -p yarrowhill-fuzz journal --sanitizer NONE -T 600s`.
 
 use yarrowhill_fuzz::Fuzz;
 
 fn main() {
-    let fuzz = Fuzz::start("journal").expect("a target");
-    bolero::check!().with_iterations(2000).with_max_len(8192).for_each(|input: &[u8]| fuzz.take(input));
+    let fuzz = Fuzz::start("journal").expect("the target starts");
+    bolero::check!().with_iterations(2000).with_max_len(8192).for_each(|input: &[u8]| fuzz.run(input));
 }
