--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -8,8 +8,8 @@
 use std::process::ExitCode;
 use yarrowhill_checker::{LimitUse, OutageReport, Rule, vacancies};
 use yarrowhill_rig::{
-    Bug, Cell, FleetPlayed, FleetScene, Load, Played, Scratch, Script, Sharing, Sweep, count, directed,
-    dutiful, limited, patched, play_load, play_scenes, returning, sweep,
+    Bug, Cell, FleetOutcome, FleetScene, Load, RunOutcome, ScratchBuild, Script, Sharing, Sweep, count,
+    directed_scenes, duty_scenes, limit_scenes, outage_scenes, patched_files, play_load, play_scenes, sweep,
 };
 
 /// Plays scripted faults by seeds against the forwarder and judges the six rules.
@@ -214,7 +214,7 @@
 fn program(bug: Option<Bug>) -> io::Result<PathBuf> {
     if let Some(bug) = bug {
         println!("building the program with {} ...", bug.name());
-        return Scratch::open().and_then(|scratch| scratch.build(bug)).map_err(io::Error::other);
+        return ScratchBuild::open().and_then(|scratch| scratch.build(bug)).map_err(io::Error::other);
     }
     let path = std::env::current_exe()?.with_file_name("yarrowhill-faulty");
     match path.exists() {
@@ -237,8 +237,14 @@
         Command::Seed { seed, bug, message, shards } => {
             println!("{}", serde_json::to_string_pretty(&Script::draw(seed))?);
             let program = program(bug)?;
-            let plan =
-                Sweep { program: &program, seeds: vec![seed], jobs: 1, bug: None, shards, first: false };
+            let plan = Sweep {
+                program: &program,
+                seeds: vec![seed],
+                jobs: 1,
+                bug: None,
+                shards,
+                stop_at_first: false,
+            };
             let mut clean = true;
             sweep(plan, |_, played| {
                 clean = played.is_clean();
@@ -253,7 +259,7 @@
         }
         Command::Bugs { fit: true, .. } => {
             for bug in Bug::ALL {
-                let files = patched(*bug).map_err(io::Error::other)?;
+                let files = patched_files(*bug).map_err(io::Error::other)?;
                 println!(
                     "{:36} {}",
                     bug.name(),
@@ -270,7 +276,7 @@
         },
         Command::Fleet { scene: Some(path), folder: Some(folder), ledger, show, .. } => {
             let text = std::fs::read_to_string(path)?;
-            let scene = FleetScene::read(&text).map_err(io::Error::other)?;
+            let scene = FleetScene::parse(&text).map_err(io::Error::other)?;
             let acts = scene.acts.clone();
             if show {
                 tokio::spawn(async move {
@@ -293,7 +299,7 @@
                 changes(&played);
             }
             played.breaches.iter().for_each(|b| println!("{b}"));
-            played.rules.iter().for_each(|(n, b)| println!("{n}: {b}"));
+            played.rule_breaches.iter().for_each(|(n, b)| println!("{n}: {b}"));
             println!("{}: {}", scene.name, if played.is_clean() { "everything held" } else { "not clean" });
             Ok(played.is_clean())
         }
@@ -317,17 +323,17 @@
             let mut scenes = Vec::new();
             if let Some(path) = scene {
                 let text = std::fs::read_to_string(path)?;
-                scenes.push(FleetScene::read(&text).map_err(io::Error::other)?);
+                scenes.push(FleetScene::parse(&text).map_err(io::Error::other)?);
             }
             if all {
-                scenes.extend(directed());
+                scenes.extend(directed_scenes());
             }
             scenes.extend((from..from + seeds).map(FleetScene::draw));
-            scenes.extend(if limits { limited() } else { Vec::new() });
-            scenes.extend(if returns { returning() } else { Vec::new() });
-            scenes.extend(if duties { dutiful() } else { Vec::new() });
-            scenes.extend((from..from + dutiful_seeds).map(FleetScene::draw_dutiful));
-            scenes.extend((from..from + limited_seeds).map(FleetScene::draw_limited));
+            scenes.extend(if limits { limit_scenes() } else { Vec::new() });
+            scenes.extend(if returns { outage_scenes() } else { Vec::new() });
+            scenes.extend(if duties { duty_scenes() } else { Vec::new() });
+            scenes.extend((from..from + dutiful_seeds).map(FleetScene::draw_with_duties));
+            scenes.extend((from..from + limited_seeds).map(FleetScene::draw_with_limit));
             if let Some(only) = only {
                 scenes.retain(|scene| scene.name.contains(&only));
             }
@@ -349,17 +355,18 @@
     let count = seeds.end - seeds.start;
     let bar = bar(count, bug.map_or("seeds", Bug::name));
     let (mut messages, mut late) = (0, 0.0f64);
-    let plan = Sweep { program: &program, seeds: seeds.collect(), jobs, bug: None, shards, first: false };
+    let plan =
+        Sweep { program: &program, seeds: seeds.collect(), jobs, bug: None, shards, stop_at_first: false };
     let unclean = sweep(plan, |_, played| {
         messages += played.accounts.values().map(|a| a.sent).sum::<usize>();
-        late = late.max(played.lateness);
+        late = late.max(played.lateness_ms);
         bar.inc(1);
     })
     .await?;
     bar.finish();
     println!("{count} seeds, {messages} messages, own clocks {late:.0} ms late at most");
     for rule in Rule::ALL {
-        let broken = |p: &Played| p.breaches.iter().any(|b| b.rule == rule);
+        let broken = |p: &RunOutcome| p.breaches.iter().any(|b| b.rule == rule);
         println!("{rule:?}: broken by {}", unclean.iter().filter(|(_, p)| broken(p)).count());
     }
     for (seed, played) in &unclean {
@@ -370,7 +377,7 @@
     Ok(unclean.is_empty())
 }
 
-fn tell(played: &Played, message: Option<&str>) {
+fn tell(played: &RunOutcome, message: Option<&str>) {
     for entry in &played.ledger {
         let text = serde_json::to_string(&entry.event).unwrap_or_default();
         if message.is_some_and(|m| text.contains(m)) {
@@ -378,14 +385,14 @@
         }
     }
     played.accounts.iter().for_each(|(class, account)| println!("{class}: {account:?}"));
-    println!("own clocks {:.0} ms late at most", played.lateness);
+    println!("own clocks {:.0} ms late at most", played.lateness_ms);
     played.crashed.iter().for_each(|why| println!("{why}"));
     played.breaches.iter().for_each(|b| println!("{b}"));
-    played.fleet.iter().for_each(|b| println!("{b}"));
+    played.fleet_breaches.iter().for_each(|b| println!("{b}"));
 }
 
 async fn bugs(seeds: u64, jobs: usize, only: Option<Bug>) -> io::Result<bool> {
-    let scratch = Scratch::open().map_err(io::Error::other)?;
+    let scratch = ScratchBuild::open().map_err(io::Error::other)?;
     let wanted: Vec<Bug> =
         Bug::ALL.iter().copied().filter(|bug| only.is_none_or(|only| only == *bug)).collect();
     let bar = bar(wanted.len() as u64, "bugs");
@@ -399,11 +406,11 @@
             jobs,
             bug: Some(bug),
             shards: 1,
-            first: true,
+            stop_at_first: true,
         };
         let caught = sweep(plan, |_, _| {}).await?;
         let line = match caught.first() {
-            Some((seed, played)) => match (played.breaches.first(), played.fleet.first()) {
+            Some((seed, played)) => match (played.breaches.first(), played.fleet_breaches.first()) {
                 (Some(b), _) => format!("{:36} seed {seed:3}: {b}", bug.name()),
                 (_, Some(b)) => format!("{:36} seed {seed:3}: {b}", bug.name()),
                 _ => format!("{:36} seed {seed:3}: {:?}", bug.name(), played.crashed),
@@ -413,11 +420,11 @@
                 format!("{:36} not caught in {seeds} seeds", bug.name())
             }
         };
-        if bug.is_of_members() {
+        if bug.is_in_io_free_package() {
             // What processes show is told at once: the other attack takes its time.
             bar.println(&line);
         }
-        let line = match bug.is_of_members().then(|| scratch.attack(bug)) {
+        let line = match bug.is_in_io_free_package().then(|| scratch.attack(bug)) {
             None => line,
             Some(Ok(Some(told))) => format!("{line}; {told}"),
             Some(Ok(None)) => {
@@ -446,9 +453,9 @@
     let load = Load {
         seed,
         rate,
-        seconds,
+        duration_secs: seconds,
         clients,
-        again,
+        resubmit_share: again,
         deadline_ms,
         kills,
         disk_mb,
@@ -464,15 +471,15 @@
     let _ = std::fs::remove_dir_all(&folder);
     let loaded = loaded?;
     println!("offered     {rate:.0} messages a second for {seconds} s, {kills} SIGKILLs, {disk_mb} MB");
-    println!("answered    {:.0} a second", loaded.rate);
+    println!("answered    {:.0} a second", loaded.answered_per_sec);
     println!("sent        {}", loaded.total(|a| a.sent));
     println!("taken on    {}", loaded.total(|a| a.taken_on));
     let delivered = loaded.total(|a| a.delivered);
     println!("delivered   {delivered} ({:.0} a second)", delivered as f64 / seconds);
     println!("refused     {}", loaded.total(|a| a.refused));
-    println!("came again  {:?} (status: messages)", loaded.again);
-    println!("doubled     {}", loaded.doubled());
-    println!("own clocks  {:.0} ms late at most", loaded.lateness);
+    println!("came again  {:?} (status: messages)", loaded.resubmitted);
+    println!("doubled     {}", loaded.duplicates());
+    println!("own clocks  {:.0} ms late at most", loaded.lateness_ms);
     loaded.crashed.iter().for_each(|why| println!("{why}"));
     loaded.breaches.iter().take(10).for_each(|b| println!("{b}"));
     Ok(loaded.is_clean())
@@ -508,23 +515,23 @@
         };
         rows.entry(row).or_default().add(cell);
     }
-    let head: Vec<String> = Cell::default().figures().iter().map(|(name, _)| format!("{name:>12}")).collect();
+    let head: Vec<String> = Cell::default().columns().iter().map(|(name, _)| format!("{name:>12}")).collect();
     println!("{:12}{}", "", head.concat());
     for (row, cell) in &rows {
-        let figures: Vec<String> = cell.figures().iter().map(|(_, n)| format!("{n:>12}")).collect();
+        let figures: Vec<String> = cell.columns().iter().map(|(_, n)| format!("{n:>12}")).collect();
         println!("{row:12}{}", figures.concat());
     }
     println!("{} forwarders, {} messages, {} delivered", logs.len(), counts.messages, counts.delivered);
-    counts.suspected.iter().for_each(|(what, n)| println!("{n} {what}"));
-    for suspect in counts.suspects.iter().take(20) {
-        let at = suspect.at as f64 / 1e6 - first as f64;
+    counts.suspected_totals.iter().for_each(|(what, n)| println!("{n} {what}"));
+    for suspect in counts.suspected_breaches.iter().take(20) {
+        let at = suspect.at_us as f64 / 1e6 - first as f64;
         println!(
             "  {} at {at:.3} s in {}: {}",
-            suspect.id, counts.forwarders[suspect.forwarder], suspect.what
+            suspect.id, counts.forwarders[suspect.forwarder], suspect.rule
         );
     }
-    counts.faults.iter().for_each(|(path, what)| eprintln!("{}: {what}", path.display()));
-    counts.faults.is_empty()
+    counts.log_errors.iter().for_each(|(path, what)| eprintln!("{}: {what}", path.display()));
+    counts.log_errors.is_empty()
 }
 
 async fn fleet(
@@ -538,17 +545,17 @@
     let count = scenes.len();
     let (mut unclean, mut taken_on, mut late) = (0, 0, 0.0f64);
     let mut gaps: Vec<f64> = Vec::new();
-    let mut tell = |scene: &FleetScene, played: &FleetPlayed| {
+    let mut tell = |scene: &FleetScene, played: &FleetOutcome| {
         bar.inc(1);
         taken_on += played.taken_on;
-        late = late.max(played.lateness);
+        late = late.max(played.lateness_ms);
         if ledger {
             for entry in &played.ledger {
                 println!("{:8.1} {}", entry.at, serde_json::to_string(&entry.event).unwrap_or_default());
             }
         }
-        if let (Some((limit, way)), Some((at, excess))) = (scene.limit, played.reach.excess) {
-            let LimitUse { used, calls, .. } = played.reach;
+        if let (Some((limit, way)), Some((at, excess))) = (scene.limit, played.limit_use.excess) {
+            let LimitUse { used, calls, .. } = played.limit_use;
             println!(
                 "{}: {calls} calls, {used:.2} of what {limit:.1} a second allow; {excess:.1} beyond it at {at:.0} ms",
                 scene.name
@@ -561,23 +568,23 @@
                 allowed_excess: beyond,
                 full_use_ms: full,
                 ..
-            } in &played.returns
+            } in &played.outages
             {
                 let full = full.map_or("never".to_owned(), |ms| format!("after {:.1} s", ms / 1000.0));
                 println!(
                     "  {dest}: {tried} calls while it was down ({may:.0} may be), {excess:.1} beyond what it bore when it was back ({beyond:.0} may be), full use {full}"
                 );
             }
-            if way != Sharing::Rights && played.rules.is_empty() && played.crashed.is_empty() {
+            if way != Sharing::Rights && played.rule_breaches.is_empty() && played.crashed.is_empty() {
                 return;
             }
         }
         gaps.extend(vacancies(&played.ledger));
         if !played.is_clean() {
             unclean += 1;
-            println!("{} ({:.0} ms late):", scene.name, played.lateness);
+            println!("{} ({:.0} ms late):", scene.name, played.lateness_ms);
             played.breaches.iter().take(3).for_each(|b| println!("  {b}"));
-            played.rules.iter().take(3).for_each(|(n, b)| println!("  {n}: {b}"));
+            played.rule_breaches.iter().take(3).for_each(|(n, b)| println!("  {n}: {b}"));
             played.crashed.iter().for_each(|c| println!("  {c}"));
         }
     };
@@ -597,7 +604,7 @@
 }
 
 /// When each process's standing, view or part of what all share changed.
-fn changes(played: &FleetPlayed) {
+fn changes(played: &FleetOutcome) {
     let mut last: BTreeMap<usize, (String, usize, usize)> = BTreeMap::new();
     for entry in &played.ledger {
         let yarrowhill_checker::FleetEvent::Claimed(claim) = &entry.event else { continue };
--- a/crates/rig/src/count.rs
+++ b/crates/rig/src/count.rs
@@ -41,7 +41,7 @@
 
 impl Cell {
     /// Names and figures, in the order of a message's way.
-    pub fn figures(&self) -> [(&'static str, u64); 9] {
+    pub fn columns(&self) -> [(&'static str, u64); 9] {
         [
             ("taken", self.taken),
             ("sent", self.sent),
@@ -70,19 +70,19 @@
 }
 
 /// Where a figure belongs: forwarder, destination, second.
-pub type Kept = (usize, u64, i64);
+pub type CellKey = (usize, u64, i64);
 
 /// A message that a rule concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Suspect {
+pub struct SuspectedBreach {
     /// Its id.
     pub id: String,
     /// When (microseconds of Unix time, as the log tells it).
-    pub at: i64,
+    pub at_us: i64,
     /// The forwarder, by its place among the logs.
     pub forwarder: usize,
     /// What.
-    pub what: &'static str,
+    pub rule: &'static str,
 }
 
 /// What the logs tell together.
@@ -91,17 +91,17 @@
     /// Forwarders, by their logs' names.
     pub forwarders: Vec<String>,
     /// Figures.
-    pub cells: BTreeMap<Kept, Cell>,
+    pub cells: BTreeMap<CellKey, Cell>,
     /// Distinct messages, whoever took them.
     pub messages: u64,
     /// Of these: delivered at least once.
     pub delivered: u64,
     /// Messages that a rule concerns, in the order of the logs.
-    pub suspects: Vec<Suspect>,
+    pub suspected_breaches: Vec<SuspectedBreach>,
     /// How many there are, those that are not named too.
-    pub suspected: BTreeMap<&'static str, u64>,
+    pub suspected_totals: BTreeMap<&'static str, u64>,
     /// Logs that are missing, empty, cut off, or hold lines that are not ours; the rest is counted.
-    pub faults: Vec<(PathBuf, String)>,
+    pub log_errors: Vec<(PathBuf, String)>,
 }
 
 /// What is remembered of a message.
@@ -139,7 +139,7 @@
         let name = log.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
         reader.counts.forwarders.push(name);
         if let Err(e) = reader.log(number, log) {
-            reader.counts.faults.push((log.clone(), e.to_string()));
+            reader.counts.log_errors.push((log.clone(), e.to_string()));
         }
     }
     let Reader { mut counts, known, .. } = reader;
@@ -173,7 +173,7 @@
             let whole = text.ends_with(b"\n");
             let line = String::from_utf8_lossy(&text);
             if !whole {
-                self.counts.faults.push((path.to_owned(), "its last line is cut off".to_owned()));
+                self.counts.log_errors.push((path.to_owned(), "its last line is cut off".to_owned()));
             }
             match Line::read(line.trim_end()) {
                 Some(line) => {
@@ -188,7 +188,7 @@
         }
         if strange > 0 {
             let what = format!("{strange} lines are not ours, {read} were counted");
-            self.counts.faults.push((path.to_owned(), what));
+            self.counts.log_errors.push((path.to_owned(), what));
         }
         Ok(())
     }
@@ -198,10 +198,11 @@
     }
 
     fn suspect(&mut self, number: usize, line: &Line<'_>, id: &str, what: &'static str) {
-        *self.counts.suspected.entry(what).or_default() += 1;
-        if self.counts.suspects.len() < SUSPECTS_MOST {
-            let suspect = Suspect { id: id.to_owned(), at: line.at, forwarder: number, what };
-            self.counts.suspects.push(suspect);
+        *self.counts.suspected_totals.entry(what).or_default() += 1;
+        if self.counts.suspected_breaches.len() < SUSPECTS_MOST {
+            let suspect =
+                SuspectedBreach { id: id.to_owned(), at_us: line.at, forwarder: number, rule: what };
+            self.counts.suspected_breaches.push(suspect);
         }
     }
 
@@ -413,7 +414,7 @@
             ],
         );
         let counts = count(&[a, b]);
-        assert!(counts.faults.is_empty(), "{:?}", counts.faults);
+        assert!(counts.log_errors.is_empty(), "{:?}", counts.log_errors);
         let mut sum = Cell::default();
         counts.cells.values().for_each(|cell| sum.add(cell));
         let wanted = Cell {
@@ -429,7 +430,7 @@
         };
         assert_eq!(sum, wanted);
         assert_eq!((counts.messages, counts.delivered), (2, 1));
-        let told: Vec<_> = counts.suspects.iter().map(|s| (s.id.as_str(), s.what)).collect();
+        let told: Vec<_> = counts.suspected_breaches.iter().map(|s| (s.id.as_str(), s.rule)).collect();
         assert_eq!(
             told,
             [
@@ -453,7 +454,7 @@
         let empty = log("empty", &[]);
         let strange = log("strange", &["what is this", "and this", ""]);
         let counts = count(&[cut, empty, strange, PathBuf::from("/nowhere.log")]);
-        let told: Vec<_> = counts.faults.iter().map(|(_, what)| what.as_str()).collect();
+        let told: Vec<_> = counts.log_errors.iter().map(|(_, what)| what.as_str()).collect();
         assert_eq!(told.len(), 4, "{told:?}");
         assert!(told[0].contains("cut off") && told[1].contains("empty") && told[2].contains("no line"));
         assert_eq!(counts.cells.values().map(|c| c.taken).sum::<u64>(), 1);
--- a/crates/rig/src/fleet/mod.rs
+++ b/crates/rig/src/fleet/mod.rs
@@ -10,6 +10,9 @@
 mod scene;
 mod stage;
 
-pub use play::{FleetPlayed, play_scene, play_scenes};
-pub use relay::Weather;
-pub use scene::{FleetAct, FleetScene, Folder, SceneError, Sharing, directed, dutiful, limited, returning};
+pub use play::{FleetOutcome, play_scene, play_scenes};
+pub use relay::LinkQuality;
+pub use scene::{
+    FleetAct, FleetScene, SceneError, Sharing, StateFolder, directed_scenes, duty_scenes, limit_scenes,
+    outage_scenes,
+};
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -1,9 +1,9 @@
 //! Plays a scene: does what it says, asks everybody again and again what it believes, and judges that.
 
-use super::relay::Weather;
+use super::relay::LinkQuality;
 use super::scene::{FORGOTTEN, FleetAct, FleetScene};
 use super::stage::{FAIL_BACK, FIRST_DEST, Fleet, Seat, class, terms};
-use crate::play::{Played, ms, watch_clock};
+use crate::play::{RunOutcome, ms, watch_clock};
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,41 +34,41 @@
 
 /// What came of a scene.
 #[derive(Debug)]
-pub struct FleetPlayed {
+pub struct FleetOutcome {
     /// What the fleet should not have believed or done.
     pub breaches: Vec<FleetBreach>,
     /// Rules that one process broke over its own messages.
-    pub rules: Vec<(usize, Breach)>,
+    pub rule_breaches: Vec<(usize, Breach)>,
     /// Messages that were taken on, over all processes.
     pub taken_on: usize,
     /// Processes that ended although nobody told them to.
     pub crashed: Vec<String>,
     /// How late the run's own clocks were at most (ms).
-    pub lateness: f64,
+    pub lateness_ms: f64,
     /// What reached destinations from all, where there was a limit.
-    pub reach: LimitUse,
+    pub limit_use: LimitUse,
     /// What reached those that were down and came back.
-    pub returns: Vec<OutageReport>,
+    pub outages: Vec<OutageReport>,
     /// All that was done and told.
     pub ledger: Vec<FleetEntry>,
 }
 
-impl FleetPlayed {
+impl FleetOutcome {
     /// Whether everything held.
     pub fn is_clean(&self) -> bool {
-        self.breaches.is_empty() && self.rules.is_empty() && self.crashed.is_empty()
+        self.breaches.is_empty() && self.rule_breaches.is_empty() && self.crashed.is_empty()
     }
 }
 
-impl From<FleetPlayed> for Played {
-    fn from(fleet: FleetPlayed) -> Self {
-        let FleetPlayed { breaches, rules, crashed, lateness, .. } = fleet;
-        Played {
-            breaches: rules.into_iter().map(|(_, breach)| breach).collect(),
+impl From<FleetOutcome> for RunOutcome {
+    fn from(fleet: FleetOutcome) -> Self {
+        let FleetOutcome { breaches, rule_breaches, crashed, lateness_ms, .. } = fleet;
+        RunOutcome {
+            breaches: rule_breaches.into_iter().map(|(_, breach)| breach).collect(),
             accounts: std::collections::BTreeMap::new(),
-            lateness,
+            lateness_ms,
             ledger: Vec::new(),
-            fleet: breaches,
+            fleet_breaches: breaches,
             crashed: crashed.into_iter().next(),
         }
     }
@@ -96,9 +96,9 @@
 /// # Errors
 ///
 /// The processes or the network can't be started.
-pub async fn play_scene(scene: &FleetScene, programs: &[&Path], folder: &Path) -> io::Result<FleetPlayed> {
-    let lateness = Arc::new(AtomicU64::new(0));
-    let watch = tokio::spawn(watch_clock(lateness.clone()));
+pub async fn play_scene(scene: &FleetScene, programs: &[&Path], folder: &Path) -> io::Result<FleetOutcome> {
+    let lateness_ms = Arc::new(AtomicU64::new(0));
+    let watch = tokio::spawn(watch_clock(lateness_ms.clone()));
     let mut fleet = Fleet::start(scene, programs, folder).await?;
     let book = Book { start: Instant::now(), entries: Arc::default() };
     (0..scene.size).for_each(|n| book.write(FleetEvent::Started(n)));
@@ -119,7 +119,7 @@
         ));
         let (to, dests, ledger) = (seat.process.addr, seat.stage.dests.clone(), seat.ledger.clone());
         // Some time before the end, so that every message can have its own.
-        let until = book.start + ms((scene.end - 3500.0).max(500.0));
+        let until = book.start + ms((scene.end_ms - 3500.0).max(500.0));
         let (scene_of, busy_of) = (scene.clone(), busy.clone());
         let rate = move || scene_of.rate_of(n, busy_of.load(Ordering::Relaxed));
         clients.spawn(traffic(scene.seed << 8 | n as u64, rate, to, dests, ledger, until));
@@ -130,7 +130,7 @@
         Acting { scene, programs, busy, fleet: fleet_now, book: book_now, later, down, twins, identities };
     let mut acts = scene.acts.iter().peekable();
     let mut crashed = Vec::new();
-    let end = book.start + ms(scene.end);
+    let end = book.start + ms(scene.end_ms);
     while Instant::now() < end {
         while let Some((_, act)) = acts.next_if(|(at, _)| Instant::now() >= book.start + ms(*at)) {
             acting.begin(act).await?;
@@ -156,17 +156,17 @@
         book.write(FleetEvent::Traffic { from, to, packets, lost, connections: streams });
     }
     watch.abort();
-    let lateness = f64::from_bits(lateness.load(Ordering::Relaxed));
-    let (mut rules, mut taken_on) = (Vec::new(), 0);
+    let lateness_ms = f64::from_bits(lateness_ms.load(Ordering::Relaxed));
+    let (mut rule_breaches, mut taken_on) = (Vec::new(), 0);
     for (n, seat) in fleet.seats.iter_mut().enumerate() {
         let entries = seat.ledger.entries();
         seat.process.kill().await?;
         debug_assert!(seat.endpoints().count() > 0);
         taken_on += accounts(&entries).values().map(|a| a.taken_on).sum::<usize>();
-        let broken = judge(&terms(lateness), &entries);
+        let broken = judge(&terms(lateness_ms), &entries);
         // One that was stopped could answer nothing in time; that it repeats nothing holds all the same.
         let kept = broken.into_iter().filter(|b| b.rule != Rule::Lost || !stalled.contains(&n));
-        rules.extend(kept.map(|b| (n, b)));
+        rule_breaches.extend(kept.map(|b| (n, b)));
     }
     let mut ledger = book.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let waits = scene.acts.iter().any(|(_, act)| matches!(act, FleetAct::Shut(..) | FleetAct::Down(..)));
@@ -192,10 +192,10 @@
         }
         ledger.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
-    let terms = fleet_terms(scene, lateness);
-    let (breaches, reach) = (judge_fleet(&terms, scene.size, &ledger), judge_limit(&terms, &ledger));
-    let returns = judge_outages(&terms, scene.size, &ledger);
-    Ok(FleetPlayed { breaches, rules, taken_on, crashed, lateness, reach, returns, ledger })
+    let terms = fleet_terms(scene, lateness_ms);
+    let (breaches, limit_use) = (judge_fleet(&terms, scene.size, &ledger), judge_limit(&terms, &ledger));
+    let outages = judge_outages(&terms, scene.size, &ledger);
+    Ok(FleetOutcome { breaches, rule_breaches, taken_on, crashed, lateness_ms, limit_use, outages, ledger })
 }
 
 /// Plays scenes beside each other and tells of each as it ends.
@@ -207,7 +207,7 @@
     scenes: Vec<FleetScene>,
     programs: &[&Path],
     jobs: usize,
-    told: &mut impl FnMut(&FleetScene, &FleetPlayed),
+    told: &mut impl FnMut(&FleetScene, &FleetOutcome),
 ) -> io::Result<()> {
     let room = Arc::new(tokio::sync::Semaphore::new(jobs.max(1)));
     let mut runs = JoinSet::new();
@@ -233,11 +233,11 @@
 
 /// What the protocol promises, by its period: a round of probes, the longest suspicion (four times its least, three
 /// periods times a logarithm), two lost probes, and for agreement the settling and the hold-down of those that flapped.
-fn fleet_terms(scene: &FleetScene, lateness: f64) -> FleetParams {
-    let period = scene.period as f64;
+fn fleet_terms(scene: &FleetScene, lateness_ms: f64) -> FleetParams {
+    let period = scene.period_ms as f64;
     let known = (scene.size as f64 + 18.0) * period;
     // Two periods, seen through looks that are some time apart.
-    let settled = (2.0 * period - 2.0 * ASK_EVERY.as_secs_f64() * 1000.0 - lateness).max(0.0);
+    let settled = (2.0 * period - 2.0 * ASK_EVERY.as_secs_f64() * 1000.0 - lateness_ms).max(0.0);
     // Local health stretches a probe to four periods at most.
     let known_few = (4.0 * scene.size as f64 + 18.0) * period;
     let (agreed, forgotten) = (12.0 * period, FORGOTTEN * period);
@@ -250,11 +250,11 @@
         start_capacity: FAIL_BACK[2],
         warm_up_ms: FAIL_BACK[3],
         probe_interval_ms: TRIES * period,
-        clock_slack_ms: lateness,
+        clock_slack_ms: lateness_ms,
     };
-    let slack = 200.0 + 4.0 * lateness;
+    let slack = 200.0 + 4.0 * lateness_ms;
     // Within its last tenth somebody is seen to hold each duty.
-    let duties = (scene.duties, scene.end * 0.9);
+    let duties = (scene.duties, scene.end_ms * 0.9);
     FleetParams {
         detect_ms: known,
         detect_minority_ms: known_few,
@@ -312,9 +312,9 @@
             }
             FleetAct::Weather(weather) => {
                 for (_, _, relay) in self.fleet.links() {
-                    relay.set(Weather { cut: relay.weather().cut, ..*weather });
+                    relay.set(LinkQuality { cut: relay.weather().cut, ..*weather });
                 }
-                self.book.write(FleetEvent::LinkQuality { degraded: *weather != Weather::default() });
+                self.book.write(FleetEvent::LinkQuality { degraded: *weather != LinkQuality::default() });
             }
             FleetAct::Link(from, to, weather) => {
                 if let Some(relay) = &self.fleet.relays[*from][*to] {
@@ -324,7 +324,7 @@
                 self.book.write(FleetEvent::Link { from: *from, to: *to, open: !weather.cut });
             }
             FleetAct::Heal => {
-                self.fleet.links().for_each(|(_, _, relay)| relay.set(Weather::default()));
+                self.fleet.links().for_each(|(_, _, relay)| relay.set(LinkQuality::default()));
                 let links: Vec<_> = self.fleet.links().map(|(from, to, _)| (from, to)).collect();
                 for (from, to) in links {
                     self.book.write(FleetEvent::Link { from, to, open: true });
@@ -452,7 +452,7 @@
         let Some(relay) = &self.fleet.relays[from][to] else { return };
         let weather = relay.weather();
         if weather.cut != cut {
-            relay.set(Weather { cut, ..weather });
+            relay.set(LinkQuality { cut, ..weather });
             self.book.write(FleetEvent::Link { from, to, open: !cut });
         }
     }
--- a/crates/rig/src/fleet/relay.rs
+++ b/crates/rig/src/fleet/relay.rs
@@ -21,26 +21,38 @@
 
 /// What a direction does to what it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Weather {
+pub struct LinkQuality {
     /// The share of packets that are lost.
     pub loss: f64,
     /// The share that comes twice.
-    pub twice: f64,
+    #[serde(rename = "twice")]
+    pub duplicate: f64,
     /// The least time on the way (ms),
-    pub delay: f64,
+    #[serde(rename = "delay")]
+    pub delay_ms: f64,
     /// and what chance adds in the mean (ms), so that packets overtake each other.
-    pub jitter: f64,
+    #[serde(rename = "jitter")]
+    pub jitter_ms: f64,
     /// Nothing comes through: packets are lost, connections stand still.
     pub cut: bool,
     /// Connections are accepted, and nothing more is heard on them.
     pub half_open: bool,
     /// Bytes a second; none: as many as come.
-    pub bytes: Option<u64>,
+    #[serde(rename = "bytes")]
+    pub bytes_per_sec: Option<u64>,
 }
 
-impl Default for Weather {
+impl Default for LinkQuality {
     fn default() -> Self {
-        Weather { loss: 0.0, twice: 0.0, delay: 0.0, jitter: 0.0, cut: false, half_open: false, bytes: None }
+        LinkQuality {
+            loss: 0.0,
+            duplicate: 0.0,
+            delay_ms: 0.0,
+            jitter_ms: 0.0,
+            cut: false,
+            half_open: false,
+            bytes_per_sec: None,
+        }
     }
 }
 
@@ -54,7 +66,7 @@
 }
 
 struct State {
-    weather: Weather,
+    weather: LinkQuality,
     rng: Rng,
     /// The line is busy until then.
     free: Instant,
@@ -83,7 +95,7 @@
             match TcpListener::bind(at).await {
                 Ok(tcp) => {
                     let (rng, free) = (Rng::seed_from_u64(seed), Instant::now());
-                    let state = Arc::new(Mutex::new(State { weather: Weather::default(), rng, free }));
+                    let state = Arc::new(Mutex::new(State { weather: LinkQuality::default(), rng, free }));
                     let relay =
                         Relay { at, socket: Arc::new(udp), state, counts: Arc::new(Counts::default()) };
                     return Ok((relay, tcp));
@@ -94,11 +106,11 @@
         Err(last)
     }
 
-    pub(super) fn weather(&self) -> Weather {
+    pub(super) fn weather(&self) -> LinkQuality {
         self.lock().weather
     }
 
-    pub(super) fn set(&self, weather: Weather) {
+    pub(super) fn set(&self, weather: LinkQuality) {
         self.lock().weather = weather;
     }
 
@@ -118,7 +130,7 @@
             return Vec::new();
         }
         let now = Instant::now();
-        let start = match weather.bytes {
+        let start = match weather.bytes_per_sec {
             None => now,
             Some(rate) => {
                 *free = (*free).max(now) + Duration::from_secs_f64(length as f64 / rate.max(1) as f64);
@@ -126,11 +138,11 @@
             }
         };
         let way = |chance: f64| {
-            let ms = weather.delay - weather.jitter * chance.max(1e-9).ln();
+            let ms = weather.delay_ms - weather.jitter_ms * chance.max(1e-9).ln();
             start + Duration::from_secs_f64(ms / 1000.0)
         };
         let mut comes = vec![way(first)];
-        if twice < weather.twice {
+        if twice < weather.duplicate {
             self.counts.twice.fetch_add(1, Ordering::Relaxed);
             comes.push(way(second));
         }
@@ -216,8 +228,8 @@
             sleep(Duration::from_millis(20)).await;
         }
         let weather = relay.weather();
-        let mut pause = (weather.delay + weather.jitter) / 1000.0;
-        if let Some(rate) = weather.bytes {
+        let mut pause = (weather.delay_ms + weather.jitter_ms) / 1000.0;
+        if let Some(rate) = weather.bytes_per_sec {
             pause += length as f64 / rate.max(1) as f64;
         }
         sleep(Duration::from_secs_f64(pause)).await;
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -1,6 +1,6 @@
 //! What happens to a fleet: as a value, as a document, or by a seed.
 
-use super::relay::Weather;
+use super::relay::LinkQuality;
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -8,7 +8,7 @@
 
 /// What a process finds in its folder when it starts again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Folder {
+pub enum StateFolder {
     /// What it left.
     Kept,
     /// Nothing.
@@ -27,9 +27,9 @@
     /// Nothing passes between processes of different numbers.
     Islands(Vec<usize>),
     /// All directions carry like this; what is cut stays cut.
-    Weather(Weather),
+    Weather(LinkQuality),
     /// One direction carries like this.
-    Link(usize, usize, Weather),
+    Link(usize, usize, LinkQuality),
     /// Everything as at the beginning.
     Heal,
     /// SIGSTOP, and SIGCONT after so long (ms).
@@ -39,7 +39,7 @@
     /// SIGTERM.
     Terminate(usize),
     /// A new start.
-    Start(usize, Folder),
+    Start(usize, StateFolder),
     /// All directions to and from one are cut and mended again and again: every so long, for so long (ms).
     Flap(usize, f64, f64),
     /// So many packets of rubbish to one, from an address that is nobody's.
@@ -93,21 +93,25 @@
     /// Processes.
     pub size: usize,
     /// The probe period (ms).
-    pub period: u64,
+    #[serde(rename = "period")]
+    pub period_ms: u64,
     /// What happens when (ms after all are ready), in order.
     pub acts: Vec<(f64, FleetAct)>,
     /// When it ends (ms).
-    pub end: f64,
+    #[serde(rename = "end")]
+    pub end_ms: f64,
     /// Messages a second to each process.
     pub rate: f64,
     /// Descriptors that each process may have; none: as many as the machine lets it.
-    pub descriptors: Option<u64>,
+    #[serde(rename = "descriptors")]
+    pub max_descriptors: Option<u64>,
     /// Calls a second to each destination, for all processes together, and how they keep to it.
     pub limit: Option<(f64, Sharing)>,
     /// Duties that the documents name.
     pub duties: usize,
     /// The part of all traffic that comes to the first process; none: an even one.
-    pub busy: Option<f64>,
+    #[serde(rename = "busy")]
+    pub busy_share: Option<f64>,
 }
 
 /// The probe period of scenes that are not told one (ms): short, so that they are, and long beside a machine's
@@ -124,29 +128,29 @@
     /// A scene of these acts.
     pub fn new(name: &str, size: usize, acts: Vec<(f64, FleetAct)>) -> Self {
         let last = acts.iter().map(|(at, act)| at + act.span()).fold(0.0, f64::max);
-        let end = last + REST * PERIOD as f64;
+        let end_ms = last + REST * PERIOD as f64;
         let name = name.to_owned();
-        let (descriptors, limit, busy) = (None, None, None);
+        let (max_descriptors, limit, busy_share) = (None, None, None);
         let duties = 0;
         FleetScene {
             name,
             seed: 1,
             size,
-            period: PERIOD,
+            period_ms: PERIOD,
             acts,
-            end,
+            end_ms,
             rate: RATE,
-            descriptors,
+            max_descriptors,
             limit,
             duties,
-            busy,
+            busy_share,
         }
     }
 
     /// Messages a second to a process, where most come to `busy`.
     pub(super) fn rate_of(&self, process: usize, busy: usize) -> f64 {
         let (all, others) = (self.rate * self.size as f64, (self.size as f64 - 1.0).max(1.0));
-        match self.busy {
+        match self.busy_share {
             Some(part) if process == busy => all * part,
             Some(part) => all * (1.0 - part) / others,
             None => self.rate,
@@ -155,24 +159,24 @@
 
     /// The scene of a seed under a limit that all share: what is asked for is more than it, and a third of that comes to
     /// one process.
-    pub fn draw_limited(seed: u64) -> Self {
+    pub fn draw_with_limit(seed: u64) -> Self {
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0x11a1f);
         let calls = rng.random_range(20.0..60.0);
-        (scene.limit, scene.busy) = (Some((calls, Sharing::Rights)), Some(0.34));
+        (scene.limit, scene.busy_share) = (Some((calls, Sharing::Rights)), Some(0.34));
         // Two destinations: each is asked for half of it.
         scene.rate = 2.6 * calls / scene.size as f64;
         let at =
             scene.acts.first().map_or(1000.0, |(at, _)| *at) + rng.random_range(5.0..60.0) * PERIOD as f64;
         let after = scene.acts.iter().position(|(other, _)| *other > at).unwrap_or(scene.acts.len());
         scene.acts.insert(after, (at, FleetAct::Limit(calls * [0.1, 0.5, 2.0][rng.random_range(0..3)])));
-        scene.end = scene.end.max(at + REST * PERIOD as f64);
+        scene.end_ms = scene.end_ms.max(at + REST * PERIOD as f64);
         scene.name = format!("limited seed {seed}");
         scene
     }
 
     /// The scene of a seed with duties, some of which operators want elsewhere.
-    pub fn draw_dutiful(seed: u64) -> Self {
+    pub fn draw_with_duties(seed: u64) -> Self {
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0xd071e5);
         for (_, act) in &mut scene.acts {
@@ -204,19 +208,20 @@
                 0 => FleetAct::Cut(one, other),
                 1 => FleetAct::Part(one, other),
                 2 | 3 => FleetAct::Islands((0..size).map(|_| rng.random_range(0..2)).collect()),
-                4 => FleetAct::Weather(Weather {
+                4 => FleetAct::Weather(LinkQuality {
                     loss: rng.random_range(0.0..0.15),
-                    twice: rng.random_range(0.0..0.1),
-                    delay: rng.random_range(0.0..period / 10.0),
-                    jitter: rng.random_range(0.0..period / 10.0),
-                    ..Weather::default()
+                    duplicate: rng.random_range(0.0..0.1),
+                    delay_ms: rng.random_range(0.0..period / 10.0),
+                    jitter_ms: rng.random_range(0.0..period / 10.0),
+                    ..LinkQuality::default()
                 }),
-                5 => FleetAct::Link(one, other, Weather { half_open: true, ..Weather::default() }),
+                5 => FleetAct::Link(one, other, LinkQuality { half_open: true, ..LinkQuality::default() }),
                 6 => FleetAct::Heal,
                 7 | 8 => FleetAct::Stall(one, rng.random_range(1.0..40.0) * period),
                 9 => FleetAct::Flap(one, 4.0 * period, 30.0 * period),
                 _ if dead.remove(&one) => {
-                    let folders = [Folder::Kept, Folder::Kept, Folder::Emptied, Folder::Old];
+                    let folders =
+                        [StateFolder::Kept, StateFolder::Kept, StateFolder::Emptied, StateFolder::Old];
                     FleetAct::Start(one, folders[rng.random_range(0..4)])
                 }
                 10 => {
@@ -234,7 +239,7 @@
         // All is mended, and everybody lives.
         at += 45.0 * period;
         acts.push((at, FleetAct::Heal));
-        acts.extend(dead.into_iter().map(|n| (at, FleetAct::Start(n, Folder::Kept))));
+        acts.extend(dead.into_iter().map(|n| (at, FleetAct::Start(n, StateFolder::Kept))));
         FleetScene { seed, ..FleetScene::new(&format!("seed {seed}"), size, acts) }
     }
 
@@ -246,14 +251,14 @@
     ///     at 1000 { islands 0 1 1; }
     ///     at 5000 { heal; }
     /// }"#;
-    /// let scene = yarrowhill_rig::FleetScene::read(text).unwrap();
+    /// let scene = yarrowhill_rig::FleetScene::parse(text).unwrap();
     /// assert_eq!((scene.size, scene.acts.len()), (3, 2));
     /// ```
     ///
     /// # Errors
     ///
     /// It is not of that form.
-    pub fn read(text: &str) -> Result<Self, SceneError> {
+    pub fn parse(text: &str) -> Result<Self, SceneError> {
         let document: KdlDocument = text.parse().map_err(|e: kdl::KdlError| SceneError(e.to_string()))?;
         let node = document.get("scene").ok_or_else(|| SceneError("there is no scene".into()))?;
         let name = node.get(0).and_then(KdlValue::as_string).unwrap_or("scene");
@@ -274,7 +279,7 @@
             scene.seed = number(node, "seed")? as u64;
         }
         if node.get("descriptors").is_some() {
-            scene.descriptors = Some(number(node, "descriptors")? as u64);
+            scene.max_descriptors = Some(number(node, "descriptors")? as u64);
         }
         if node.get("limit").is_some() {
             let way = match node.get("share").and_then(KdlValue::as_string) {
@@ -290,14 +295,14 @@
             scene.duties = (number(node, "duties")? as usize).min(16);
         }
         if node.get("busy").is_some() {
-            scene.busy = Some(number(node, "busy")?.min(1.0));
+            scene.busy_share = Some(number(node, "busy")?.min(1.0));
         }
         if node.get("rate").is_some() {
             scene.rate = number(node, "rate")?.min(1000.0);
         }
         if node.get("period-ms").is_some() {
-            scene.period = (number(node, "period-ms")? as u64).clamp(20, 10_000);
-            scene.end += REST * (scene.period as f64 - PERIOD as f64);
+            scene.period_ms = (number(node, "period-ms")? as u64).clamp(20, 10_000);
+            scene.end_ms += REST * (scene.period_ms as f64 - PERIOD as f64);
         }
         Ok(scene)
     }
@@ -341,14 +346,14 @@
     };
     let span = |n: usize| numbers.get(n).copied().filter(|n| *n >= 0.0).ok_or_else(|| wrong("wants a span"));
     let optional = |key: &str| node.get(key).and_then(value).unwrap_or(0.0).max(0.0);
-    let weather = || Weather {
+    let weather = || LinkQuality {
         loss: optional("loss").min(1.0),
-        twice: optional("twice").min(1.0),
-        delay: optional("delay"),
-        jitter: optional("jitter"),
+        duplicate: optional("twice").min(1.0),
+        delay_ms: optional("delay"),
+        jitter_ms: optional("jitter"),
         cut: false,
         half_open: node.get("half-open").and_then(KdlValue::as_bool).unwrap_or(false),
-        bytes: node.get("bytes").and_then(value).map(|b| b as u64),
+        bytes_per_sec: node.get("bytes").and_then(value).map(|b| b as u64),
     };
     Ok(match name {
         "cut" => FleetAct::Cut(process(0)?, process(1)?),
@@ -364,9 +369,9 @@
         "kill" => FleetAct::Kill(process(0)?),
         "terminate" => FleetAct::Terminate(process(0)?),
         "start" => match node.get("folder").and_then(KdlValue::as_string) {
-            None | Some("kept") => FleetAct::Start(process(0)?, Folder::Kept),
-            Some("emptied") => FleetAct::Start(process(0)?, Folder::Emptied),
-            Some("old") => FleetAct::Start(process(0)?, Folder::Old),
+            None | Some("kept") => FleetAct::Start(process(0)?, StateFolder::Kept),
+            Some("emptied") => FleetAct::Start(process(0)?, StateFolder::Emptied),
+            Some("old") => FleetAct::Start(process(0)?, StateFolder::Old),
             Some(_) => return Err(wrong("folder is kept, emptied or old")),
         },
         "flap" => FleetAct::Flap(process(0)?, span(1)?, span(2)?),
@@ -388,11 +393,11 @@
 }
 
 /// A scene for each hard case that processes can show.
-pub fn directed() -> Vec<FleetScene> {
+pub fn directed_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = PERIOD as f64;
     let scene = FleetScene::new;
-    let late = super::relay::Weather { delay: 2000.0, ..Default::default() };
+    let late = super::relay::LinkQuality { delay_ms: 2000.0, ..Default::default() };
     vec![
         scene("one way cut", 3, vec![(2.0 * p, Cut(0, 1)), (50.0 * p, Heal)]),
         scene(
@@ -420,38 +425,38 @@
         scene("everything two seconds late", 3, vec![(2.0 * p, Weather(late)), (60.0 * p, Heal)]),
         scene("half die at once and others come", 9, {
             let mut acts: Vec<_> = (0..4).map(|n| (2.0 * p, Kill(n))).collect();
-            acts.extend((0..4).map(|n| (40.0 * p, Start(n, Folder::Emptied))));
+            acts.extend((0..4).map(|n| (40.0 * p, Start(n, StateFolder::Emptied))));
             acts
         }),
         scene(
             "a restart faster than the detector",
             3,
-            vec![(2.0 * p, Kill(1)), (2.0 * p + 1.0, Start(1, Folder::Kept))],
+            vec![(2.0 * p, Kill(1)), (2.0 * p + 1.0, Start(1, StateFolder::Kept))],
         ),
         scene(
             "an old copy of a folder, and none",
             5,
             vec![
                 (2.0 * p, Kill(1)),
-                (4.0 * p, Start(1, Folder::Kept)),
+                (4.0 * p, Start(1, StateFolder::Kept)),
                 (25.0 * p, Kill(1)),
                 (26.0 * p, Kill(2)),
-                (50.0 * p, Start(1, Folder::Old)),
-                (50.0 * p, Start(2, Folder::Emptied)),
+                (50.0 * p, Start(1, StateFolder::Old)),
+                (50.0 * p, Start(2, StateFolder::Emptied)),
             ],
         ),
         scene("a stranger's flood", 3, vec![(2.0 * p, Flood(0, 20_000))]),
-        scene("one that leaves", 3, vec![(2.0 * p, Terminate(2)), (40.0 * p, Start(2, Folder::Kept))]),
+        scene("one that leaves", 3, vec![(2.0 * p, Terminate(2)), (40.0 * p, Start(2, StateFolder::Kept))]),
         scene("a roster of one", 1, vec![(2.0 * p, Stall(0, 10.0 * p))]),
         scene("connections that say nothing", 3, {
-            let silent = super::relay::Weather { half_open: true, ..Default::default() };
+            let silent = super::relay::LinkQuality { half_open: true, ..Default::default() };
             vec![(2.0 * p, Link(0, 1, silent)), (2.0 * p, Link(2, 1, silent)), (40.0 * p, Heal)]
         }),
         scene("one alone is wrong", 5, vec![(2.0 * p, Islands(vec![1, 0, 0, 0, 0])), (60.0 * p, Heal)]),
         scene(
             "a name that moves to another address",
             5,
-            vec![(2.0 * p, Kill(1)), (20.0 * p, Move(1)), (21.0 * p, Start(1, Folder::Kept))],
+            vec![(2.0 * p, Kill(1)), (20.0 * p, Move(1)), (21.0 * p, Start(1, StateFolder::Kept))],
         ),
         scene(
             "a shut door that all hear of, and one that has just started",
@@ -459,7 +464,7 @@
             vec![
                 (10.0 * p, Kill(4)),
                 (38.0 * p, Shut(0, 0, 40.0 * p)),
-                (40.0 * p, Start(4, Folder::Kept)),
+                (40.0 * p, Start(4, StateFolder::Kept)),
                 (90.0 * p, Shut(1, 1, 20.0 * p)),
             ],
         ),
@@ -467,27 +472,27 @@
         scene("no disk for a boot that must go above what others heard", 5, no_disk(p)),
         scene("a roster that shrinks and grows by joint steps", 5, joint(p)),
         scene("lines of three thousand bytes a second", 5, {
-            let narrow = super::relay::Weather { bytes: Some(3000), ..Default::default() };
+            let narrow = super::relay::LinkQuality { bytes_per_sec: Some(3000), ..Default::default() };
             let links = (0..25).filter(|n| n / 5 != n % 5);
             let mut acts: Vec<_> = links.map(|n| (2.0 * p, Link(n / 5, n % 5, narrow))).collect();
-            acts.extend([(10.0 * p, Kill(4)), (60.0 * p, Start(4, Folder::Kept)), (100.0 * p, Heal)]);
+            acts.extend([(10.0 * p, Kill(4)), (60.0 * p, Start(4, StateFolder::Kept)), (100.0 * p, Heal)]);
             acts
         }),
         FleetScene {
-            descriptors: Some(150),
+            max_descriptors: Some(150),
             ..scene("descriptors used up", 5, vec![(2.0 * p, Crowd(1, 400, 60.0 * p))])
         },
     ]
 }
 
 /// Limits that all share, under faults.
-pub fn limited() -> Vec<FleetScene> {
+pub fn limit_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = PERIOD as f64;
     let scene = |name: &str, acts| FleetScene {
         limit: Some((40.0, Sharing::Rights)),
         // Just what the limits of two destinations allow, most of it at one.
-        busy: Some(0.6),
+        busy_share: Some(0.6),
         rate: 16.0,
         ..FleetScene::new(name, 5, acts)
     };
@@ -497,7 +502,7 @@
         scene("a limit, one way cut", vec![(30.0 * p, Cut(0, 1)), (31.0 * p, Cut(0, 2)), (70.0 * p, Heal)]),
         scene("a limit, most are killed and return", {
             let mut acts: Vec<_> = (1..5).map(|n| (30.0 * p, Kill(n))).collect();
-            acts.extend((1..5).map(|n| (70.0 * p, Start(n, Folder::Kept))));
+            acts.extend((1..5).map(|n| (70.0 * p, Start(n, StateFolder::Kept))));
             acts
         }),
         scene("a limit, and traffic that moves", {
@@ -512,7 +517,7 @@
 }
 
 /// Duties that one holds at a time, under faults. A lease is three periods.
-pub fn dutiful() -> Vec<FleetScene> {
+pub fn duty_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = PERIOD as f64;
     let lease = 3.0 * p;
@@ -525,7 +530,7 @@
         scene("duties, and each is killed in turn", 5, {
             let each = (0..5).flat_map(|n| {
                 let at = 20.0 * p + 40.0 * p * f64::from(n);
-                [(at, Kill(n as usize)), (at + 25.0 * p, Start(n as usize, Folder::Kept))]
+                [(at, Kill(n as usize)), (at + 25.0 * p, Start(n as usize, StateFolder::Kept))]
             });
             each.collect()
         }),
@@ -556,18 +561,18 @@
         ),
         scene("duties, and all are killed at once", 5, {
             let kills = (0..5).map(|n| (30.0 * p, Kill(n)));
-            kills.chain((0..5).map(|n| (32.0 * p, Start(n, Folder::Kept)))).collect()
+            kills.chain((0..5).map(|n| (32.0 * p, Start(n, StateFolder::Kept)))).collect()
         }),
         scene(
             "duties, and voters with an old folder and with none",
             5,
             vec![
                 (20.0 * p, Kill(1)),
-                (40.0 * p, Start(1, Folder::Kept)),
+                (40.0 * p, Start(1, StateFolder::Kept)),
                 (70.0 * p, Kill(1)),
-                (75.0 * p, Start(1, Folder::Old)),
+                (75.0 * p, Start(1, StateFolder::Old)),
                 (110.0 * p, Kill(2)),
-                (115.0 * p, Start(2, Folder::Emptied)),
+                (115.0 * p, Start(2, StateFolder::Emptied)),
             ],
         ),
         scene(
@@ -576,7 +581,7 @@
             vec![
                 (20.0 * p, Disk(1, true)),
                 (30.0 * p, Kill(0)),
-                (60.0 * p, Start(0, Folder::Kept)),
+                (60.0 * p, Start(0, StateFolder::Kept)),
                 (80.0 * p, Disk(1, false)),
             ],
         ),
@@ -588,16 +593,21 @@
                 (30.0 * p, Yield(0)),
                 (50.0 * p, Pin(1, 3)),
                 (80.0 * p, Kill(3)),
-                (110.0 * p, Start(3, Folder::Kept)),
+                (110.0 * p, Start(3, StateFolder::Kept)),
                 (140.0 * p, Yield(2)),
             ],
         ),
         scene("duties, and a third of all packets is lost", 7, {
-            let lossy = super::relay::Weather { loss: 0.3, delay: 20.0, jitter: 30.0, ..Default::default() };
+            let lossy = super::relay::LinkQuality {
+                loss: 0.3,
+                delay_ms: 20.0,
+                jitter_ms: 30.0,
+                ..Default::default()
+            };
             vec![
                 (20.0 * p, Weather(lossy)),
                 (60.0 * p, Kill(0)),
-                (90.0 * p, Start(0, Folder::Kept)),
+                (90.0 * p, Start(0, StateFolder::Kept)),
                 (120.0 * p, Heal),
             ]
         }),
@@ -605,7 +615,7 @@
 }
 
 /// Partners of all that are down and come back cold, under a limit that all share.
-pub fn returning() -> Vec<FleetScene> {
+pub fn outage_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = PERIOD as f64;
     let scene = |name: &str, acts| FleetScene {
@@ -620,7 +630,7 @@
         scene("down, and one after another is killed", {
             let kills = (0..3).map(|n| (50.0 * p + 14.0 * p * f64::from(n), Kill(n as usize)));
             let starts =
-                (0..3).map(|n| (60.0 * p + 14.0 * p * f64::from(n), Start(n as usize, Folder::Kept)));
+                (0..3).map(|n| (60.0 * p + 14.0 * p * f64::from(n), Start(n as usize, StateFolder::Kept)));
             let mut acts: Vec<_> = std::iter::once(down(30.0)).chain(kills).chain(starts).collect();
             acts.sort_by(|a, b| a.0.total_cmp(&b.0));
             acts
@@ -637,11 +647,11 @@
             vec![down(30.0), (50.0 * p, Islands(vec![0, 0, 0, 1, 1])), (130.0 * p, Heal)]
         }),
         scene("down, and a tenth of all packets is lost", {
-            let lossy = super::relay::Weather { loss: 0.1, ..Default::default() };
+            let lossy = super::relay::LinkQuality { loss: 0.1, ..Default::default() };
             vec![(10.0 * p, Weather(lossy)), down(30.0), (140.0 * p, Heal)]
         }),
         scene("one starts while a partner is down", {
-            vec![(10.0 * p, Kill(4)), down(30.0), (60.0 * p, Start(4, Folder::Emptied))]
+            vec![(10.0 * p, Kill(4)), down(30.0), (60.0 * p, Start(4, StateFolder::Emptied))]
         }),
         scene("both are down, one after the other", vec![down(30.0), (60.0 * p, Down(1, 8000.0))]),
     ]
@@ -653,10 +663,10 @@
     use FleetAct::*;
     vec![
         (2.0 * p, Kill(1)),
-        (4.0 * p, Start(1, Folder::Kept)),
+        (4.0 * p, Start(1, StateFolder::Kept)),
         (25.0 * p, Kill(1)),
         (26.0 * p, Islands(vec![0, 1, 0, 0, 0])),
-        (27.0 * p, Start(1, Folder::Emptied)),
+        (27.0 * p, Start(1, StateFolder::Emptied)),
         (40.0 * p, Disk(1, true)),
         (41.0 * p, Heal),
         (80.0 * p, Disk(1, false)),
@@ -672,8 +682,8 @@
         (40.0 * p, Joint(vec![0, 1, 2])),
         (60.0 * p, Settle),
         (90.0 * p, Joint(vec![0, 1, 2, 3, 4])),
-        (91.0 * p, Start(3, Folder::Kept)),
-        (91.0 * p, Start(4, Folder::Emptied)),
+        (91.0 * p, Start(3, StateFolder::Kept)),
+        (91.0 * p, Start(4, StateFolder::Emptied)),
         (130.0 * p, Settle),
     ]
 }
@@ -688,7 +698,7 @@
     }
     acts.push((60.0 * p, FleetAct::Kill(2)));
     acts.push((110.0 * p, FleetAct::Heal));
-    acts.push((110.0 * p, FleetAct::Start(2, Folder::Kept)));
+    acts.push((110.0 * p, FleetAct::Start(2, StateFolder::Kept)));
     acts
 }
 
@@ -701,11 +711,11 @@
         assert_eq!(FleetScene::draw(5), FleetScene::draw(5));
         assert_ne!(FleetScene::draw(5).acts, FleetScene::draw(6).acts);
         for text in ["", "scene \"a\"", "scene \"a\" size=3 { at 1 { cut 0 3; }; }", "scene \"a\" size=99"] {
-            assert!(FleetScene::read(text).is_err(), "{text}");
+            assert!(FleetScene::parse(text).is_err(), "{text}");
         }
         let text = "scene \"a\" size=3 seed=7 { at 10 { stall 1 500; link 0 1 loss=0.5 half-open=#true; }; }";
-        let scene = FleetScene::read(text).expect("a scene");
+        let scene = FleetScene::parse(text).expect("a scene");
         assert_eq!(scene.acts[0], (10.0, FleetAct::Stall(1, 500.0)));
-        assert!(matches!(scene.acts[1].1, FleetAct::Link(0, 1, Weather { half_open: true, .. })));
+        assert!(matches!(scene.acts[1].1, FleetAct::Link(0, 1, LinkQuality { half_open: true, .. })));
     }
 }
--- a/crates/rig/src/fleet/stage.rs
+++ b/crates/rig/src/fleet/stage.rs
@@ -1,7 +1,7 @@
 //! The processes of a scene: folders, configurations, what each has for itself, and the network between them.
 
 use super::relay::{Back, Relay};
-use super::scene::{FleetAct, FleetScene, Folder, Sharing};
+use super::scene::{FleetAct, FleetScene, Sharing, StateFolder};
 use crate::play::{Stage, stage};
 use crate::script::Dest;
 use rand::{RngExt, SeedableRng};
@@ -66,14 +66,14 @@
 }
 
 /// The terms of the six rules for what one process does.
-pub(super) fn terms(lateness: f64) -> RuleParams {
+pub(super) fn terms(lateness_ms: f64) -> RuleParams {
     let usual = RuleParams::default();
     let classes = [(CLASSES[0].name, Effect::Keyed(KEY_LIFE)), (CLASSES[1].name, Effect::Unsafe)];
     let [fall_multiple, fall_for, start_capacity, warm_after] = FAIL_BACK;
     RuleParams {
         classes: classes.into_iter().map(|(name, effect)| (name.to_owned(), effect)).collect(),
         // An answer passes a process and a stand-in, and each may have been as late as the rig's own clocks were.
-        clock_slack_ms: usual.clock_slack_ms + 2.0 * lateness,
+        clock_slack_ms: usual.clock_slack_ms + 2.0 * lateness_ms,
         overload_multiple: fall_multiple,
         overload_for_ms: fall_for,
         start_capacity,
@@ -128,10 +128,10 @@
         for n in 0..size {
             let folder = folder.join(n.to_string());
             fs::create_dir_all(&folder)?;
-            fs::write(folder.join("fleet.kdl"), document(scene.period, &roster, listens[n], &relays[n]))?;
+            fs::write(folder.join("fleet.kdl"), document(scene.period_ms, &roster, listens[n], &relays[n]))?;
             let program = programs.get(n % programs.len().max(1)).ok_or(io::ErrorKind::InvalidInput)?;
             let (program, seed) = (program.to_path_buf(), scene.seed << 8 | n as u64);
-            let (many, descriptors) = (size, scene.descriptors);
+            let (many, descriptors) = (size, scene.max_descriptors);
             starts.spawn(async move {
                 (n, Seat::start(n, many, &program, &folder, seed, descriptors, true).await)
             });
@@ -161,7 +161,10 @@
         let listen = self.twins[n].ok_or(io::ErrorKind::NotFound)?;
         let folder = self.twin_folder(n);
         fs::create_dir_all(&folder)?;
-        fs::write(folder.join("fleet.kdl"), document(scene.period, &self.roster, listen, &self.relays[n]))?;
+        fs::write(
+            folder.join("fleet.kdl"),
+            document(scene.period_ms, &self.roster, listen, &self.relays[n]),
+        )?;
         let seed = scene.seed << 8 | 0x80 | n as u64;
         // One of the two is to be silent, and so never ready: it may be this one.
         Seat::start(n, scene.size, program, &folder, seed, None, false).await
@@ -208,7 +211,7 @@
 
     fn write_documents(&self, scene: &FleetScene) -> io::Result<()> {
         for (n, seat) in self.seats.iter().enumerate() {
-            let text = document(scene.period, &self.roster, self.listens[n], &self.relays[n]);
+            let text = document(scene.period_ms, &self.roster, self.listens[n], &self.relays[n]);
             fs::write(seat.process.folder().join("fleet.kdl"), text)?;
         }
         Ok(())
@@ -264,8 +267,8 @@
             number,
             batches: false,
             endpoints: 2,
-            pace: 15.0,
-            limit: 60.0,
+            call_ms: 15.0,
+            calls_per_sec: 60.0,
             faults: faults.clone(),
         };
         let stage = stage(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
@@ -329,11 +332,11 @@
 
     /// Starts it again. Its journal is kept whatever comes of its identity: what is lost with a journal is another
     /// matter than who it is.
-    pub(super) fn start_again(&mut self, with: Folder) -> io::Result<()> {
+    pub(super) fn start_again(&mut self, with: StateFolder) -> io::Result<()> {
         self.remember();
         match with {
-            Folder::Kept => {}
-            Folder::Emptied => {
+            StateFolder::Kept => {}
+            StateFolder::Emptied => {
                 for file in [self.identity(), self.registers()] {
                     fs::remove_file(file).or_else(|e| match e.kind() {
                         io::ErrorKind::NotFound => Ok(()),
@@ -341,7 +344,7 @@
                     })?;
                 }
             }
-            Folder::Old => {
+            StateFolder::Old => {
                 let n = self.identities.len().saturating_sub(2);
                 if let (Some(old), Some(registers)) = (self.identities.get(n), self.registers.get(n)) {
                     fs::write(self.identity(), old)?;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -22,13 +22,13 @@
 mod sweep;
 
 pub use bugs::{Bug, Scene};
-pub use count::{Cell, Counts, Kept, Suspect, count};
+pub use count::{Cell, CellKey, Counts, SuspectedBreach, count};
 pub use fleet::{
-    FleetAct, FleetPlayed, FleetScene, Folder, SceneError, Sharing, Weather, directed, dutiful, limited,
-    play_scene, play_scenes, returning,
+    FleetAct, FleetOutcome, FleetScene, LinkQuality, SceneError, Sharing, StateFolder, directed_scenes,
+    duty_scenes, limit_scenes, outage_scenes, play_scene, play_scenes,
 };
-pub use load::{Load, Loaded, play_load};
-pub use play::{Played, play};
-pub use scratch::{Scratch, ScratchError, patched};
+pub use load::{Load, LoadOutcome, play_load};
+pub use play::{RunOutcome, play_script};
+pub use scratch::{ScratchBuild, ScratchBuildError, patched_files};
 pub use script::{Act, Dest, Script};
 pub use sweep::{Sweep, sweep};
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,6 +1,6 @@
 //! Many messages a second over kept connections, some of them handed in once more under their id.
 
-use crate::play::{Played, Stage, ms, stage, watch_clock};
+use crate::play::{RunOutcome, Stage, ms, stage, watch_clock};
 use crate::script::Dest;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -37,12 +37,14 @@
     /// Messages a second; what the clients can't hand in in time is handed in late.
     pub rate: f64,
     /// For how long (s).
-    pub seconds: f64,
+    #[serde(rename = "seconds")]
+    pub duration_secs: f64,
     /// Clients, each with a connection that it keeps.
     pub clients: usize,
     /// Share of the messages that may not be repeated and were taken on which come once more, a second later, under
     /// the same id and with the time that is left.
-    pub again: f64,
+    #[serde(rename = "again")]
+    pub resubmit_share: f64,
     /// How long a message may be delivered (ms).
     pub deadline_ms: u64,
     /// SIGKILLs, evenly over the time.
@@ -61,9 +63,9 @@
         Load {
             seed: 1,
             rate: 1000.0,
-            seconds: 4.0,
+            duration_secs: 4.0,
             clients: 32,
-            again: 0.1,
+            resubmit_share: 0.1,
             deadline_ms: 6000,
             kills: 0,
             disk_mb: 3.0,
@@ -75,24 +77,24 @@
 
 /// What came of a load.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadOutcome {
     /// Rules that were broken.
     pub breaches: Vec<Breach>,
     /// What became of the messages, by class.
     pub accounts: BTreeMap<String, Account>,
     /// Messages that came a second time, and what they heard, by status (0: nothing).
-    pub again: BTreeMap<u16, usize>,
+    pub resubmitted: BTreeMap<u16, usize>,
     /// Messages handed in a second, those that came a second time with them.
-    pub rate: f64,
+    pub answered_per_sec: f64,
     /// How late the run's own clocks were at most (ms).
-    pub lateness: f64,
+    pub lateness_ms: f64,
     /// Why the program ended although nobody told it to.
     pub crashed: Option<String>,
 }
 
-impl Loaded {
+impl LoadOutcome {
     /// Messages that ran, or may have, more often than their class allows.
-    pub fn doubled(&self) -> usize {
+    pub fn duplicates(&self) -> usize {
         self.breaches.iter().filter(|b| b.rule == Rule::Twice).count()
     }
 
@@ -112,16 +114,16 @@
 /// # Errors
 ///
 /// The stand-ins or the program can't be started.
-pub async fn play_load(load: &Load, program: &Path, folder: &Path) -> io::Result<Loaded> {
+pub async fn play_load(load: &Load, program: &Path, folder: &Path) -> io::Result<LoadOutcome> {
     let ledger = Ledger::default();
-    let lateness = Arc::new(AtomicU64::new(0));
-    let watch = tokio::spawn(watch_clock(lateness.clone()));
+    let lateness_ms = Arc::new(AtomicU64::new(0));
+    let watch = tokio::spawn(watch_clock(lateness_ms.clone()));
     let dest = |n: usize| Dest {
         number: 10 + n as u64,
         batches: n.is_multiple_of(2),
         endpoints: 2,
-        pace: 2.0,
-        limit: 1e6,
+        call_ms: 2.0,
+        calls_per_sec: 1e6,
         faults: Faults::default(),
     };
     let list: Vec<Dest> = (0..load.dests).map(dest).collect();
@@ -156,8 +158,9 @@
         clients.spawn(client(load.clone(), rng, process.addr, start, next.clone(), ledger.clone()));
     }
     let mut crashed = None;
-    let mut kills = (1..=load.kills).map(|n| load.seconds * n as f64 / (load.kills + 1) as f64).peekable();
-    let end = start + Duration::from_secs_f64(load.seconds) + ms(load.deadline_ms as f64 + REST);
+    let mut kills =
+        (1..=load.kills).map(|n| load.duration_secs * n as f64 / (load.kills + 1) as f64).peekable();
+    let end = start + Duration::from_secs_f64(load.duration_secs) + ms(load.deadline_ms as f64 + REST);
     while Instant::now() < end && crashed.is_none() {
         if kills.next_if(|at| start.elapsed().as_secs_f64() >= *at).is_some() {
             process.kill().await?;
@@ -178,19 +181,19 @@
     watch.abort();
     drop(endpoints);
     let entries = ledger.entries();
-    let lateness = f64::from_bits(lateness.load(Ordering::Relaxed));
+    let lateness_ms = f64::from_bits(lateness_ms.load(Ordering::Relaxed));
     let terms = RuleParams {
         classes: [(KEYED.to_owned(), Effect::Keyed(15_000.0)), (UNSAFE.to_owned(), Effect::Unsafe)].into(),
-        clock_slack_ms: 60.0 + lateness,
+        clock_slack_ms: 60.0 + lateness_ms,
         ..RuleParams::default()
     };
-    let (again, heard) = second_answers(&entries);
-    Ok(Loaded {
+    let (resubmitted, answered) = second_answers(&entries);
+    Ok(LoadOutcome {
         breaches: judge(&terms, &entries),
         accounts: accounts(&entries),
-        again,
-        rate: heard as f64 / load.seconds,
-        lateness,
+        resubmitted,
+        answered_per_sec: answered as f64 / load.duration_secs,
+        lateness_ms,
         crashed,
     })
 }
@@ -226,7 +229,7 @@
     let mut session = Session::new(to, &ledger);
     // When each comes once more, and until when it may be delivered (ms, the ledger's clock).
     let mut later: VecDeque<(Instant, Message, f64)> = VecDeque::new();
-    let end = start + Duration::from_secs_f64(load.seconds);
+    let end = start + Duration::from_secs_f64(load.duration_secs);
     loop {
         let n = next.fetch_add(1, Ordering::Relaxed);
         let at = start + Duration::from_secs_f64(n as f64 / load.rate);
@@ -248,7 +251,7 @@
         };
         let up = ledger.now() + load.deadline_ms as f64;
         let (heard, _) = session.submit(&message, ClientOptions::default()).await;
-        if heard == ClientOutcome::Status(202) && class == UNSAFE && rng.random_bool(load.again) {
+        if heard == ClientOutcome::Status(202) && class == UNSAFE && rng.random_bool(load.resubmit_share) {
             later.push_back((Instant::now() + AGAIN_AFTER, message, up));
         }
     }
@@ -267,9 +270,16 @@
     }
 }
 
-impl From<Loaded> for Played {
-    fn from(loaded: Loaded) -> Self {
-        let Loaded { breaches, accounts, lateness, crashed, .. } = loaded;
-        Played { breaches, accounts, fleet: Vec::new(), lateness, ledger: Vec::new(), crashed }
+impl From<LoadOutcome> for RunOutcome {
+    fn from(loaded: LoadOutcome) -> Self {
+        let LoadOutcome { breaches, accounts, lateness_ms, crashed, .. } = loaded;
+        RunOutcome {
+            breaches,
+            accounts,
+            fleet_breaches: Vec::new(),
+            lateness_ms,
+            ledger: Vec::new(),
+            crashed,
+        }
     }
 }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -27,25 +27,25 @@
 
 /// What came of a run.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunOutcome {
     /// Rules that were broken.
     pub breaches: Vec<Breach>,
     /// What became of the messages, by class.
     pub accounts: BTreeMap<String, Account>,
     /// How late the run's own clocks were at most (ms).
-    pub lateness: f64,
+    pub lateness_ms: f64,
     /// All that stand-ins saw.
     pub ledger: Vec<Entry>,
     /// What several processes should not have believed or done, where there were several.
-    pub fleet: Vec<FleetBreach>,
+    pub fleet_breaches: Vec<FleetBreach>,
     /// Why the program ended although nobody told it to.
     pub crashed: Option<String>,
 }
 
-impl Played {
+impl RunOutcome {
     /// Whether all rules were kept and the program lived.
     pub fn is_clean(&self) -> bool {
-        self.breaches.is_empty() && self.fleet.is_empty() && self.crashed.is_none()
+        self.breaches.is_empty() && self.fleet_breaches.is_empty() && self.crashed.is_none()
     }
 }
 
@@ -84,13 +84,14 @@
     let (mut dests, mut endpoints, mut lines) = (Vec::new(), Vec::new(), Vec::new());
     for d in list {
         let chance = Rng::from_rng(rng);
-        let dest = Destination::new(d.number, d.pace, d.limit, d.faults.clone(), chance, ledger.clone());
+        let dest =
+            Destination::new(d.number, d.call_ms, d.calls_per_sec, d.faults.clone(), chance, ledger.clone());
         let mut own = Vec::new();
         for n in 0..d.endpoints {
             let uid = format!("s-{}-{n}", d.number);
             let endpoint = Endpoint::start(&uid, loopback(), &dest).await?;
             let kind = if d.batches { "several" } else { "plain" };
-            lines.push(EndpointLine::new(&uid, endpoint.addr, d.number, kind, d.limit));
+            lines.push(EndpointLine::new(&uid, endpoint.addr, d.number, kind, d.calls_per_sec));
             own.push(Some(endpoint));
         }
         dests.push(dest);
@@ -105,20 +106,22 @@
 /// # Errors
 ///
 /// The stand-ins or the program can't be started.
-pub async fn play(script: &Script, program: &Path, folder: &Path) -> io::Result<Played> {
+pub async fn play_script(script: &Script, program: &Path, folder: &Path) -> io::Result<RunOutcome> {
     let ledger = Ledger::default();
-    let lateness = Arc::new(AtomicU64::new(0));
-    let watch = tokio::spawn(watch_clock(lateness.clone()));
+    let lateness_ms = Arc::new(AtomicU64::new(0));
+    let watch = tokio::spawn(watch_clock(lateness_ms.clone()));
     let mut rng = Rng::seed_from_u64(script.seed);
     let Stage { dests, endpoints, discovery, lines } = stage(&script.dests, &mut rng, &ledger).await?;
     let config = script.config(free_address()?, discovery.addr, &lines);
     let mut env = Vec::new();
-    env.extend(script.die.as_ref().map(|(point, n)| ("YARROWHILL_DIE".to_owned(), format!("{point}:{n}"))));
+    env.extend(
+        script.exit_at.as_ref().map(|(point, n)| ("YARROWHILL_DIE".to_owned(), format!("{point}:{n}"))),
+    );
     let setup = Setup {
         program: program.into(),
         folder: folder.into(),
         env,
-        max_file_bytes: script.file_most,
+        max_file_bytes: script.max_file_bytes,
         max_descriptors: None,
     };
     let process = Process::start(setup, &config, &ledger).await?;
@@ -131,24 +134,24 @@
     };
     let mut world =
         World { ledger, dests, endpoints, discovery, process, config, damage, journal, later: Vec::new() };
-    let end = start + ms(script.traffic());
-    let crashed = world.act(script, start, end + ms(script.rest())).await?;
+    let end = start + ms(script.traffic_ms());
+    let crashed = world.act(script, start, end + ms(script.settle_ms())).await?;
     let _ = clients.await;
     let World { ledger, mut process, .. } = world;
     let entries = ledger.entries();
     process.kill().await?;
     watch.abort();
-    let lateness = f64::from_bits(lateness.load(Ordering::Relaxed));
-    let mut breaches = judge(&script.terms(lateness), &entries);
+    let lateness_ms = f64::from_bits(lateness_ms.load(Ordering::Relaxed));
+    let mut breaches = judge(&script.rule_params(lateness_ms), &entries);
     if script.damage.is_some() {
         // What stood in damaged bytes may be lost; that nothing runs twice holds all the same.
         breaches.retain(|breach| breach.rule != Rule::Lost);
     }
-    Ok(Played {
+    Ok(RunOutcome {
         accounts: accounts(&entries),
         breaches,
-        fleet: Vec::new(),
-        lateness,
+        fleet_breaches: Vec::new(),
+        lateness_ms,
         ledger: entries,
         crashed,
     })
@@ -167,13 +170,13 @@
                 let (_, later) = self.later.remove(n);
                 self.finish(later).await?;
             }
-            if !healed && now >= start + ms(script.traffic()) {
+            if !healed && now >= start + ms(script.traffic_ms()) {
                 healed = true;
                 self.dests.iter().for_each(Destination::clear_faults);
                 self.discovery.drop_notices(0);
             }
             if let Some(status) = self.process.try_exit_status()? {
-                if script.die.is_none() {
+                if script.exit_at.is_none() {
                     return Ok(Some(format!("the program ended: {status}")));
                 }
                 sleep(AGAIN).await;
@@ -213,20 +216,20 @@
                     drop(old);
                 });
             }
-            Act::Down { dest, shut, span } => {
-                self.dests[*dest].go_down(*shut, *span);
-                self.later.push((Instant::now() + ms(*span), Later::Back(*dest)));
+            Act::Down { dest, shut, duration_ms } => {
+                self.dests[*dest].go_down(*shut, *duration_ms);
+                self.later.push((Instant::now() + ms(*duration_ms), Later::Back(*dest)));
             }
-            Act::Replace { dest, endpoint, drains } => {
+            Act::Replace { dest, endpoint, drain_ms } => {
                 if let Some(old) = &self.endpoints[*dest][*endpoint] {
                     self.discovery.set_state(&old.uid, "terminating");
                     let gone = Later::Gone { dest: *dest, endpoint: *endpoint };
-                    self.later.push((Instant::now() + ms(*drains), gone));
+                    self.later.push((Instant::now() + ms(*drain_ms), gone));
                 }
             }
-            Act::Stale(span) => {
+            Act::Stale(duration_ms) => {
                 self.discovery.set_silent(true);
-                self.later.push((Instant::now() + ms(*span), Later::Talk));
+                self.later.push((Instant::now() + ms(*duration_ms), Later::Talk));
             }
             Act::DropNotices(nth) => self.discovery.drop_notices(*nth),
         }
@@ -278,11 +281,11 @@
         } else {
             -rng.random::<f64>().max(1e-9).ln() / 0.7 * 1000.0 / script.rate
         };
-        if at > script.traffic() {
+        if at > script.traffic_ms() {
             break;
         }
         sleep_until(start + ms(at)).await;
-        let (class, deadline_ms) = Script::class(&mut rng);
+        let (class, deadline_ms) = Script::draw_class(&mut rng);
         // The first destination gets the most.
         let place = if rng.random_bool(0.4) { 0 } else { rng.random_range(0..dests.len()) };
         let message = Message {
@@ -293,7 +296,7 @@
             deadline_ms,
             body_bytes: rng.random_range(0..600),
         };
-        let [leaves, half, twice] = script.clients;
+        let [leaves, half, twice] = script.client_faults;
         let patience = ClientOptions {
             timeout_ms: if rng.random_bool(leaves) { rng.random_range(1..=10) } else { 400 },
             abort_midway: rng.random_bool(half),
--- a/crates/rig/src/scratch.rs
+++ b/crates/rig/src/scratch.rs
@@ -9,7 +9,7 @@
 
 /// Why a bug can't be planted.
 #[derive(Debug, thiserror::Error)]
-pub enum ScratchError {
+pub enum ScratchBuildError {
     /// A file of the copy can't be had.
     #[error("{0}: {1}")]
     Io(PathBuf, #[source] io::Error),
@@ -34,8 +34,8 @@
     Commit(String),
 }
 
-fn at(path: &Path) -> impl FnOnce(io::Error) -> ScratchError + '_ {
-    |e| ScratchError::Io(path.into(), e)
+fn at(path: &Path) -> impl FnOnce(io::Error) -> ScratchBuildError + '_ {
+    |e| ScratchBuildError::Io(path.into(), e)
 }
 
 /// The workspace's root.
@@ -49,17 +49,17 @@
 /// # Errors
 ///
 /// The patch does not fit.
-pub fn patched(bug: Bug) -> Result<BTreeMap<PathBuf, String>, ScratchError> {
+pub fn patched_files(bug: Bug) -> Result<BTreeMap<PathBuf, String>, ScratchBuildError> {
     let mut texts = BTreeMap::new();
     for part in bug.patch().split_inclusive('\n').fold(Vec::<String>::new(), by_file) {
-        let unread = |why: String| ScratchError::Patch(bug.name(), why);
+        let unread = |why: String| ScratchBuildError::Patch(bug.name(), why);
         let patch = diffy::Patch::from_str(&part).map_err(|e| unread(e.to_string()))?;
         let name = patch.original().ok_or_else(|| unread("it names no file".into()))?;
         let name = name.strip_prefix("a/").unwrap_or(name).to_owned();
         let path = root().join(&name);
         let text = fs::read_to_string(&path).map_err(at(&path))?;
         let fitted = diffy::apply(&text, &patch);
-        let text = fitted.map_err(|e| ScratchError::Fit {
+        let text = fitted.map_err(|e| ScratchBuildError::Fit {
             bug: bug.name(),
             file: name.clone(),
             why: e.to_string(),
@@ -83,24 +83,24 @@
 /// The scratch copy, held by one process at a time. Between two bugs only what differs is written, so that only that
 /// is built anew.
 #[derive(Debug)]
-pub struct Scratch {
+pub struct ScratchBuild {
     folder: PathBuf,
     _lock: File,
 }
 
-impl Scratch {
+impl ScratchBuild {
     /// Takes it, once whoever holds it has done.
     ///
     /// # Errors
     ///
     /// The folder can't be made.
-    pub fn open() -> Result<Self, ScratchError> {
+    pub fn open() -> Result<Self, ScratchBuildError> {
         let folder = root().join("target/bugs");
         fs::create_dir_all(folder.join("bin")).map_err(at(&folder))?;
         let path = folder.join("lock");
         let lock = File::create(&path).map_err(at(&path))?;
         lock.lock().map_err(at(&path))?;
-        Ok(Scratch { folder, _lock: lock })
+        Ok(ScratchBuild { folder, _lock: lock })
     }
 
     /// The program with a bug planted.
@@ -108,8 +108,8 @@
     /// # Errors
     ///
     /// The patch does not fit, or what comes of it does not build.
-    pub fn build(&self, bug: Bug) -> Result<PathBuf, ScratchError> {
-        let mut patched = patched(bug)?;
+    pub fn build(&self, bug: Bug) -> Result<PathBuf, ScratchBuildError> {
+        let mut patched = patched_files(bug)?;
         let mut wanted = Vec::new();
         for name in ["Cargo.toml", "Cargo.lock", "crates"] {
             files(&root(), Path::new(name), &mut wanted)?;
@@ -134,10 +134,14 @@
     /// # Errors
     ///
     /// There is no such commit, or it does not build.
-    pub fn before(&self, commit: &str) -> Result<PathBuf, ScratchError> {
-        let git = |args: &[&str]| -> Result<Vec<u8>, ScratchError> {
+    pub fn build_commit(&self, commit: &str) -> Result<PathBuf, ScratchBuildError> {
+        let git = |args: &[&str]| -> Result<Vec<u8>, ScratchBuildError> {
             let done = Command::new("git").args(args).current_dir(root()).output().map_err(at(&root()))?;
-            if done.status.success() { Ok(done.stdout) } else { Err(ScratchError::Commit(commit.to_owned())) }
+            if done.status.success() {
+                Ok(done.stdout)
+            } else {
+                Err(ScratchBuildError::Commit(commit.to_owned()))
+            }
         };
         let names = git(&["ls-tree", "-r", "--name-only", commit, "Cargo.toml", "Cargo.lock", "crates"])?;
         let names = String::from_utf8_lossy(&names).into_owned();
@@ -152,7 +156,7 @@
     }
 
     /// Makes the tree hold these files and no others. Only what differs is written, so that only that is built anew.
-    fn lay(&self, texts: Vec<(PathBuf, Vec<u8>)>) -> Result<(), ScratchError> {
+    fn lay(&self, texts: Vec<(PathBuf, Vec<u8>)>) -> Result<(), ScratchBuildError> {
         let tree = self.folder.join("tree");
         for (name, text) in &texts {
             let to = tree.join(name);
@@ -175,18 +179,18 @@
     }
 
     /// Attacks a bug of membership without any process: the first line that tells of it, if it is caught. The tree is
-    /// that of the last [`Scratch::build`].
+    /// that of the last [`ScratchBuild::build`].
     ///
     /// # Errors
     ///
     /// It does not build, or can't be run.
-    pub fn attack(&self, bug: Bug) -> Result<Option<String>, ScratchError> {
+    pub fn attack(&self, bug: Bug) -> Result<Option<String>, ScratchBuildError> {
         let program = self.folder.join("bin").join(format!("attack-{}", bug.name()));
         self.cargo(bug.name(), "yarrowhill-attack", "attack", &program)?;
         let schedules: &[&str] = match bug {
-            _ if bug.is_of_rights() => &["rights", "--seeds", "200", "--sizes", "3"],
-            _ if bug.is_of_duties() => &["duties", "--seeds", "200", "--most", "300000"],
-            _ if bug.is_of_returns() => &["returns", "--seeds", "60", "--sizes", "3"],
+            _ if bug.is_in_rights() => &["rights", "--seeds", "200", "--sizes", "3"],
+            _ if bug.is_in_duties() => &["duties", "--seeds", "200", "--most", "300000"],
+            _ if bug.is_in_outages() => &["returns", "--seeds", "60", "--sizes", "3"],
             _ => &["schedules", "--seeds", "200"],
         };
         for args in [schedules, &["search"]] {
@@ -201,7 +205,7 @@
     }
 
     /// Builds a program of the tree and puts it in a place of its own.
-    fn cargo(&self, what: &str, package: &str, bin: &str, to: &Path) -> Result<(), ScratchError> {
+    fn cargo(&self, what: &str, package: &str, bin: &str, to: &Path) -> Result<(), ScratchBuildError> {
         let (tree, target) = (self.folder.join("tree"), self.folder.join("build"));
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
         let built = Command::new(cargo)
@@ -212,7 +216,7 @@
             .status()
             .map_err(at(&tree))?;
         if !built.success() {
-            return Err(ScratchError::Build(what.to_owned()));
+            return Err(ScratchBuildError::Build(what.to_owned()));
         }
         let from = target.join("debug").join(bin);
         fs::copy(&from, to).map_err(at(&from))?;
@@ -221,7 +225,7 @@
 }
 
 /// All files at a place under a folder, by their paths from it.
-fn files(folder: &Path, name: &Path, found: &mut Vec<PathBuf>) -> Result<(), ScratchError> {
+fn files(folder: &Path, name: &Path, found: &mut Vec<PathBuf>) -> Result<(), ScratchBuildError> {
     let path = folder.join(name);
     if !path.is_dir() {
         found.push(name.to_path_buf());
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -30,9 +30,11 @@
     /// Endpoints.
     pub endpoints: usize,
     /// Usual time of a call (ms).
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub call_ms: f64,
     /// Calls a second.
-    pub limit: f64,
+    #[serde(rename = "limit")]
+    pub calls_per_sec: f64,
     /// What goes wrong there.
     pub faults: Faults,
 }
@@ -53,7 +55,8 @@
         /// Shut, or silent.
         shut: bool,
         /// For how long (ms).
-        span: f64,
+        #[serde(rename = "span")]
+        duration_ms: f64,
     },
     /// An endpoint drains; so long after (ms) it is gone and a new one stands at its address.
     Replace {
@@ -62,7 +65,8 @@
         /// Which of its endpoints.
         endpoint: usize,
         /// How long it drains (ms).
-        drains: f64,
+        #[serde(rename = "drains")]
+        drain_ms: f64,
     },
     /// Discovery tells nothing for so long (ms).
     Stale(f64),
@@ -82,11 +86,14 @@
     /// What happens when (ms).
     pub acts: Vec<(f64, Act)>,
     /// Share of clients that leave early, that stop halfway, and that send their request twice.
-    pub clients: [f64; 3],
+    #[serde(rename = "clients")]
+    pub client_faults: [f64; 3],
     /// The point at which the process ends by itself, and at which passing.
-    pub die: Option<(String, u64)>,
+    #[serde(rename = "die")]
+    pub exit_at: Option<(String, u64)>,
     /// No file of the program's may grow longer (bytes).
-    pub file_most: Option<u64>,
+    #[serde(rename = "file_most")]
+    pub max_file_bytes: Option<u64>,
     /// The journal is damaged at this part of its length while the process is down.
     pub damage: Option<f64>,
     /// The forwarder's shards.
@@ -107,8 +114,8 @@
                     number: 10 + n,
                     batches,
                     endpoints: 1 + rng.random_range(0..3usize),
-                    pace: rng.random_range(10.0..120.0),
-                    limit: rng.random_range(12.0..60.0),
+                    call_ms: rng.random_range(10.0..120.0),
+                    calls_per_sec: rng.random_range(12.0..60.0),
                     faults: Faults {
                         error: some(&mut rng, 0.3, 0.1),
                         malformed: some(&mut rng, 0.4, 0.2),
@@ -125,7 +132,7 @@
             .collect();
         let mut acts: Vec<(f64, Act)> = Vec::new();
         let mut damage = None;
-        let mut die = None;
+        let mut exit_at = None;
         match rng.random_range(0..10u32) {
             0..3 => {
                 acts.push((rng.random_range(500.0..2500.0), Act::Kill(rng.random_range(100.0..600.0))));
@@ -138,20 +145,20 @@
             4..7 => {
                 let point = Point::ALL[rng.random_range(0..Point::ALL.len())];
                 let nth = if point == Point::BeforeRename { 1 } else { 20 + rng.random_range(0..120u64) };
-                die = Some((point.name().to_owned(), nth));
+                exit_at = Some((point.name().to_owned(), nth));
             }
             _ => {}
         }
         if rng.random_bool(0.5) {
             let dest = rng.random_range(0..dests.len());
-            let (shut, span) = (rng.random_bool(0.6), rng.random_range(500.0..1200.0));
-            acts.push((rng.random_range(300.0..1200.0), Act::Down { dest, shut, span }));
+            let (shut, duration_ms) = (rng.random_bool(0.6), rng.random_range(500.0..1200.0));
+            acts.push((rng.random_range(300.0..1200.0), Act::Down { dest, shut, duration_ms }));
         }
         for _ in 0..rng.random_range(0..3u32) {
             let dest = rng.random_range(0..dests.len());
             let endpoint = rng.random_range(0..dests[dest].endpoints);
-            let drains = rng.random_range(100.0..2500.0);
-            acts.push((rng.random_range(300.0..2000.0), Act::Replace { dest, endpoint, drains }));
+            let drain_ms = rng.random_range(100.0..2500.0);
+            acts.push((rng.random_range(300.0..2000.0), Act::Replace { dest, endpoint, drain_ms }));
         }
         if rng.random_bool(0.25) {
             acts.push((rng.random_range(300.0..2500.0), Act::Reload));
@@ -162,15 +169,19 @@
             acts.push((0.0, Act::DropNotices(2 + rng.random_range(0..3))));
         }
         acts.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let full = die.is_none() && rng.random_bool(0.15);
+        let full = exit_at.is_none() && rng.random_bool(0.15);
         Script {
             seed,
             rate: rng.random_range(30.0..90.0),
             dests,
             acts,
-            clients: [rng.random_range(0.0..0.05), rng.random_range(0.0..0.03), rng.random_range(0.0..0.08)],
-            die,
-            file_most: full.then(|| 512 * (20 + rng.random_range(0..60u64))),
+            client_faults: [
+                rng.random_range(0.0..0.05),
+                rng.random_range(0.0..0.03),
+                rng.random_range(0.0..0.08),
+            ],
+            exit_at,
+            max_file_bytes: full.then(|| 512 * (20 + rng.random_range(0..60u64))),
             damage,
             shards: 1,
         }
@@ -180,20 +191,20 @@
     pub fn with_shards(self, shards: usize) -> Self {
         let rename = Point::BeforeRename.name();
         // Each segment of a new layout is written once before the program is ready for the first time.
-        let die = self.die.map(|(point, nth)| {
+        let exit_at = self.exit_at.map(|(point, nth)| {
             let made = if point == rename && shards > 1 { shards as u64 } else { 0 };
             (point, nth + made)
         });
-        Script { shards, die, ..self }
+        Script { shards, exit_at, ..self }
     }
 
     /// When clients stop (ms).
-    pub fn traffic(&self) -> f64 {
+    pub fn traffic_ms(&self) -> f64 {
         TRAFFIC
     }
 
     /// How long until all must have ended (ms), from the end of the traffic.
-    pub fn rest(&self) -> f64 {
+    pub fn settle_ms(&self) -> f64 {
         let longest = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
         // A planned end may take 3.7 s, and what is open is overdue only a while after the next start.
         let planned = self.acts.iter().any(|(_, act)| *act == Act::Terminate);
@@ -201,7 +212,7 @@
     }
 
     /// A message's class by name and how long it may be delivered, drawn.
-    pub fn class(rng: &mut Rng) -> (&'static str, u64) {
+    pub fn draw_class(rng: &mut Rng) -> (&'static str, u64) {
         let class = CLASSES[usize::from(rng.random_bool(0.5))];
         // Some have been about for a while.
         let half = class.deadline_ms / 2;
@@ -226,7 +237,7 @@
     }
 
     /// The figures by which it is judged.
-    pub fn terms(&self, lateness: f64) -> RuleParams {
+    pub fn rule_params(&self, lateness_ms: f64) -> RuleParams {
         let effect = |kind: &str| if kind == "token" { Effect::Keyed(KEY_LIFE) } else { Effect::Unsafe };
         RuleParams {
             classes: CLASSES.iter().map(|c| (c.name.to_owned(), effect(c.idempotency))).collect(),
@@ -236,7 +247,7 @@
             warm_up_ms: WARM,
             // Half of what the platform allows: the module sends nothing from the moment that it hears.
             drain_grace_ms: 1000.0,
-            clock_slack_ms: 60.0 + lateness,
+            clock_slack_ms: 60.0 + lateness_ms,
             ..RuleParams::default()
         }
     }
--- a/crates/rig/src/sweep.rs
+++ b/crates/rig/src/sweep.rs
@@ -3,7 +3,7 @@
 use crate::bugs::{Bug, Scene};
 use crate::fleet::play_scene;
 use crate::load::play_load;
-use crate::play::{LATE_MOST, Played, folder, play};
+use crate::play::{LATE_MOST, RunOutcome, folder, play_script};
 use crate::script::Script;
 use std::io;
 use std::path::Path;
@@ -28,7 +28,7 @@
     /// The forwarder's shards.
     pub shards: usize,
     /// Stop at the first run that is not clean.
-    pub first: bool,
+    pub stop_at_first: bool,
 }
 
 /// Plays the seeds and tells of each run as it ends. Gives those that were not clean.
@@ -36,7 +36,10 @@
 /// # Errors
 ///
 /// A run could not be played.
-pub async fn sweep(sweep: Sweep<'_>, mut told: impl FnMut(u64, &Played)) -> io::Result<Vec<(u64, Played)>> {
+pub async fn sweep(
+    sweep: Sweep<'_>,
+    mut told: impl FnMut(u64, &RunOutcome),
+) -> io::Result<Vec<(u64, RunOutcome)>> {
     // Loads beside each other would take each other's rate.
     let alone = sweep.bug.is_some_and(|bug| matches!(bug.scene(0), Scene::Load(_)));
     let room = Arc::new(Semaphore::new(if alone { 1 } else { sweep.jobs.max(1) }));
@@ -48,7 +51,7 @@
             let _room = room.acquire_owned().await.map_err(io::Error::other)?;
             for tries in 1.. {
                 let played = one(seed, bug, shards, &program).await?;
-                if played.lateness <= LATE_MOST || tries == TRIES {
+                if played.lateness_ms <= LATE_MOST || tries == TRIES {
                     return Ok::<_, io::Error>((seed, played));
                 }
             }
@@ -61,7 +64,7 @@
         told(seed, &played);
         if !played.is_clean() {
             unclean.push((seed, played));
-            if sweep.first {
+            if sweep.stop_at_first {
                 break;
             }
         }
@@ -71,11 +74,11 @@
     Ok(unclean)
 }
 
-async fn one(seed: u64, bug: Option<Bug>, shards: usize, program: &Path) -> io::Result<Played> {
+async fn one(seed: u64, bug: Option<Bug>, shards: usize, program: &Path) -> io::Result<RunOutcome> {
     let folder = folder(&format!("{seed}-{}", bug.map_or("none", Bug::name)));
     let played = match bug.map(|bug| bug.scene(seed)) {
-        None => play(&Script::draw(seed).with_shards(shards), program, &folder).await?,
-        Some(Scene::Script(script)) => play(&script.with_shards(shards), program, &folder).await?,
+        None => play_script(&Script::draw(seed).with_shards(shards), program, &folder).await?,
+        Some(Scene::Script(script)) => play_script(&script.with_shards(shards), program, &folder).await?,
         Some(Scene::Load(load)) => play_load(&load, program, &folder).await?.into(),
         Some(Scene::Fleet(scene)) => play_scene(&scene, &[program], &folder).await?.into(),
     };
--- a/crates/rig/tests/fleet.rs
+++ b/crates/rig/tests/fleet.rs
@@ -4,7 +4,8 @@
 
 use std::path::Path;
 use yarrowhill_rig::{
-    FleetPlayed, FleetScene, Scratch, ScratchError, directed, dutiful, limited, play_scenes, returning,
+    FleetOutcome, FleetScene, ScratchBuild, ScratchBuildError, directed_scenes, duty_scenes, limit_scenes,
+    outage_scenes, play_scenes,
 };
 
 const SEEDS: u64 = 30;
@@ -19,17 +20,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_processes_believe_and_do_holds_under_faults() {
     let program = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
-    let mut scenes = [directed(), limited(), returning(), dutiful()].concat();
+    let mut scenes = [directed_scenes(), limit_scenes(), outage_scenes(), duty_scenes()].concat();
     scenes.extend((0..SEEDS).map(FleetScene::draw));
-    scenes.extend((0..LIMITED).map(FleetScene::draw_limited));
-    scenes.extend((0..DUTIFUL).map(FleetScene::draw_dutiful));
+    scenes.extend((0..LIMITED).map(FleetScene::draw_with_limit));
+    scenes.extend((0..DUTIFUL).map(FleetScene::draw_with_duties));
     let count = scenes.len();
     let (mut unclean, mut taken_on) = (Vec::new(), 0);
-    let mut told = |scene: &FleetScene, played: &FleetPlayed| {
+    let mut told = |scene: &FleetScene, played: &FleetOutcome| {
         taken_on += played.taken_on;
         if !played.is_clean() {
-            let FleetPlayed { breaches, rules, crashed, lateness, .. } = played;
-            println!("{}: {breaches:#?} {rules:#?} {crashed:?}, {lateness:.0} ms late", scene.name);
+            let FleetOutcome { breaches, rule_breaches, crashed, lateness_ms, .. } = played;
+            println!(
+                "{}: {breaches:#?} {rule_breaches:#?} {crashed:?}, {lateness_ms:.0} ms late",
+                scene.name
+            );
             unclean.push(scene.name.clone());
         }
     };
@@ -47,22 +51,24 @@
 async fn two_versions_live_beside_each_other() {
     let now = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
     let before = {
-        let scratch = Scratch::open().expect("a folder");
-        match scratch.before(FIRST) {
+        let scratch = ScratchBuild::open().expect("a folder");
+        match scratch.build_commit(FIRST) {
             Ok(before) => before,
             // A copy of the repository without its history has nothing to play beside.
-            Err(ScratchError::Commit(commit)) => return println!("left out: {commit} is not in the history"),
+            Err(ScratchBuildError::Commit(commit)) => {
+                return println!("left out: {commit} is not in the history");
+            }
             Err(e) => panic!("{e}"),
         }
     };
     let wanted = ["cut in two, four and five", "half die at once and others come", "one that leaves"];
     let scenes: Vec<FleetScene> =
-        directed().into_iter().filter(|scene| wanted.contains(&scene.name.as_str())).collect();
+        directed_scenes().into_iter().filter(|scene| wanted.contains(&scene.name.as_str())).collect();
     assert_eq!(scenes.len(), wanted.len());
     let mut unclean = Vec::new();
-    let mut told = |scene: &FleetScene, played: &FleetPlayed| {
+    let mut told = |scene: &FleetScene, played: &FleetOutcome| {
         if !played.is_clean() {
-            unclean.push(format!("{}: {:?} {:?}", scene.name, played.breaches, played.rules));
+            unclean.push(format!("{}: {:?} {:?}", scene.name, played.breaches, played.rule_breaches));
         }
     };
     play_scenes(scenes, &[now, &before], JOBS, &mut told).await.expect("the scenes can be played");
@@ -75,7 +81,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
     let play = || async {
         let mut clean = false;
-        let mut told = |_: &FleetScene, played: &FleetPlayed| clean = played.is_clean();
+        let mut told = |_: &FleetScene, played: &FleetOutcome| clean = played.is_clean();
         play_scenes(vec![FleetScene::new("calm", 3, Vec::new())], &[program], 1, &mut told)
             .await
             .map(|()| clean)
--- a/crates/rig/tests/seeds.rs
+++ b/crates/rig/tests/seeds.rs
@@ -3,7 +3,7 @@
 //! One seed again, with its script: `cargo run --release -p yarrowhill-rig -- seed N`.
 
 use std::path::Path;
-use yarrowhill_rig::{Played, Script, Sweep, sweep};
+use yarrowhill_rig::{RunOutcome, Script, Sweep, sweep};
 
 const SEEDS: u64 = 80;
 /// Those that are played with four shards.
@@ -22,9 +22,9 @@
 async fn play(shards: usize, seeds: std::ops::Range<u64>) {
     let count_of = seeds.end - seeds.start;
     let program = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
-    let plan = Sweep { program, seeds: seeds.collect(), jobs: JOBS, bug: None, shards, first: false };
+    let plan = Sweep { program, seeds: seeds.collect(), jobs: JOBS, bug: None, shards, stop_at_first: false };
     let mut messages = 0;
-    let count = |played: &Played| played.accounts.values().map(|a| a.taken_on).sum::<usize>();
+    let count = |played: &RunOutcome| played.accounts.values().map(|a| a.taken_on).sum::<usize>();
     let unclean = sweep(plan, |_, played| messages += count(played)).await.expect("the runs can be played");
     for (seed, played) in &unclean {
         println!("seed {seed}: {:?} {:#?}", played.crashed, played.breaches);
