--- a/crates/rig/src/fleet/mod.rs
+++ b/crates/rig/src/fleet/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! - `relay`: one direction between two processes, by UDP and TCP
 //! - `scene`: what happens to them: as a value, as a document, or by a seed
-//! - `stage`: the processes, their folders and what they are told
+//! - `processes`: the processes, their folders and what they are told
 //! - `play`: a scene played; what everybody said goes into the ledger that the checker reads
 
 mod play;
+mod processes;
 mod relay;
 mod scene;
-mod stage;
 
 pub use play::{FleetOutcome, play_scene, play_scenes};
 pub use relay::LinkQuality;
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -1,8 +1,8 @@
 //! Plays a scene: does what it says, asks everybody again and again what it believes, and judges that.
 
+use super::processes::{FAIL_BACK, FIRST_DEST, Fleet, Seat, class, terms};
 use super::relay::LinkQuality;
 use super::scene::{FORGOTTEN, FleetAct, FleetScene};
-use super::stage::{FAIL_BACK, FIRST_DEST, Fleet, Seat, class, terms};
 use crate::play::{RunOutcome, ms, watch_clock};
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
