--- a/crates/rig/src/count.rs
+++ b/crates/rig/src/count.rs
@@ -1,6 +1,6 @@
-//! Counts over a fleet, from the logs that its forwarders wrote with `YARROWHILL_LOG=debug`: what was taken, sent,
-//! written, ended, given up and refused, by forwarder, destination and second, and which messages a rule concerns.
-//! Logs are read line by line, one after another; of each message only what the rules need is kept.
+//! Statistics over the logs that the forwarders of a fleet wrote with `YARROWHILL_LOG=debug`: messages taken, sent,
+//! written, ended, given up and refused, by forwarder, destination and second, and messages that seem to break a rule.
+//! Logs are read line by line, one after another; of each message only what the rules need is kept in memory.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
@@ -9,38 +9,38 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// A line longer than this is cut off: none of ours is (bytes).
-const LINE_MOST: usize = 1 << 20;
-/// Messages that a rule concerns are told by their ids, so many.
-const SUSPECTS_MOST: usize = 1000;
-/// Sends that cross the answer that told of a wait are let through (microseconds).
-const WAIT_GRACE: i64 = 100_000;
+/// Longer lines are cut off; the forwarder writes none of this length.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// Maximum number of suspected breaches that are listed by message id.
+const MAX_SUSPECTED_BREACHES: usize = 1000;
+/// A send this soon after the answer that returned a wait may have crossed it and is not a breach.
+const WAIT_GRACE_US: i64 = 100_000;
 
-/// What happened in one second of one forwarder with one destination.
+/// Counters of one forwarder and destination over one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cell {
-    /// Messages that were taken up, those of an earlier process too.
+    /// Messages taken, including those replayed from an earlier process.
     pub taken: u64,
     /// Attempts that the module decided on.
     pub sent: u64,
-    /// Calls of which a byte was written.
+    /// Calls of which at least one byte was written.
     pub written: u64,
-    /// Attempts that ended with the message delivered,
+    /// Attempts that delivered the message.
     pub delivered: u64,
-    /// refused above a limit or at a shut door,
+    /// Attempts that the destination refused because it was above its limit or closed.
     pub full: u64,
-    /// with no connection, or not begun,
+    /// Attempts that had no connection or were not begun.
     pub never_ran: u64,
-    /// or in a way in which they may have run.
+    /// Attempts that ended in any other way, so that the call may have run.
     pub may_have_run: u64,
-    /// Messages that were refused,
+    /// Messages that were refused.
     pub refused: u64,
-    /// or failed.
+    /// Messages that failed.
     pub failed: u64,
 }
 
 impl Cell {
-    /// Names and figures, in the order of a message's way.
+    /// Returns the column names and values, in the order in which a message passes them.
     pub fn columns(&self) -> [(&'static str, u64); 9] {
         [
             ("taken", self.taken),
@@ -55,7 +55,7 @@
         ]
     }
 
-    /// Adds another one's figures.
+    /// Adds the counters of another cell.
     pub fn add(&mut self, other: &Cell) {
         self.taken += other.taken;
         self.sent += other.sent;
@@ -69,54 +69,54 @@
     }
 }
 
-/// Where a figure belongs: forwarder, destination, second.
+/// Key of a cell: index of the forwarder, destination, second of Unix time.
 pub type CellKey = (usize, u64, i64);
 
-/// A message that a rule concerns.
+/// A message that seems to break a rule, judged by the logs alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectedBreach {
-    /// Its id.
+    /// Id of the message.
     pub id: String,
-    /// When (microseconds of Unix time, as the log tells it).
+    /// Time of the log line, in microseconds of Unix time.
     pub at_us: i64,
-    /// The forwarder, by its place among the logs.
+    /// Index of the forwarder among the logs.
     pub forwarder: usize,
-    /// What.
+    /// What happened against the rule.
     pub rule: &'static str,
 }
 
-/// What the logs tell together.
+/// Statistics over all logs.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Forwarders, by their logs' names.
+    /// Names of the forwarders, taken from the file names of their logs.
     pub forwarders: Vec<String>,
-    /// Figures.
+    /// Counters by forwarder, destination and second.
     pub cells: BTreeMap<CellKey, Cell>,
-    /// Distinct messages, whoever took them.
+    /// Number of distinct messages over all forwarders.
     pub messages: u64,
-    /// Of these: delivered at least once.
+    /// Number of distinct messages that were delivered at least once.
     pub delivered: u64,
-    /// Messages that a rule concerns, in the order of the logs.
+    /// Suspected breaches in the order of the logs, up to a maximum number.
     pub suspected_breaches: Vec<SuspectedBreach>,
-    /// How many there are, those that are not named too.
+    /// Number of suspected breaches by rule, including those beyond the maximum that is listed.
     pub suspected_totals: BTreeMap<&'static str, u64>,
-    /// Logs that are missing, empty, cut off, or hold lines that are not ours; the rest is counted.
+    /// Logs that are missing, empty, truncated, or contain unrecognized lines; their remaining lines are counted.
     pub log_errors: Vec<(PathBuf, String)>,
 }
 
-/// What is remembered of a message.
+/// State kept for each message over all logs.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct MessageState {
     class: u8,
-    /// Attempts out that may still run.
-    out: u8,
+    /// Attempts in flight that may still run.
+    in_flight: u8,
     delivered: u8,
-    /// The first attempt that may have run, where one did (microseconds).
-    risk: Option<i64>,
+    /// When the first attempt that may have run was sent, in microseconds of Unix time.
+    first_risky_us: Option<i64>,
     open: bool,
 }
 
-/// What a class's repeat does, as the settings of the log tell.
+/// Effect of a repeated call, by the class settings in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Effect {
     Safe,
@@ -127,67 +127,71 @@
 #[derive(Default)]
 struct Reader {
     counts: Counts,
-    known: HashMap<u64, Known>,
+    messages: HashMap<u64, MessageState>,
     effects: Vec<Effect>,
 }
 
-/// Counts over logs, each of one forwarder.
+/// Computes statistics over logs, one log per forwarder.
 pub fn count(logs: &[PathBuf]) -> Counts {
     let mut reader = Reader::default();
     for log in logs {
         let number = reader.counts.forwarders.len();
         let name = log.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
         reader.counts.forwarders.push(name);
-        if let Err(e) = reader.log(number, log) {
+        if let Err(e) = reader.read_log(number, log) {
             reader.counts.log_errors.push((log.clone(), e.to_string()));
         }
     }
-    let Reader { mut counts, known, .. } = reader;
-    counts.messages = known.len() as u64;
-    counts.delivered = known.values().filter(|k| k.delivered > 0).count() as u64;
+    let Reader { mut counts, messages, .. } = reader;
+    counts.messages = messages.len() as u64;
+    counts.delivered = messages.values().filter(|k| k.delivered > 0).count() as u64;
     counts
 }
 
-/// What is remembered of one forwarder while its log is read.
+/// State kept for one forwarder while its log is read.
 #[derive(Default)]
-struct Own {
-    /// Destinations' waits, by destination: until when.
+struct ForwarderState {
+    /// End of the wait that each destination returned, by destination.
     waits: HashMap<u64, i64>,
-    /// Where each message goes, by the hash of its id.
+    /// Destination of each message, by the hash of the message id.
     dests: HashMap<u64, u64>,
-    /// When each attempt was sent.
+    /// Time at which each attempt was sent, by the hash of the message id and the attempt number.
     sent: HashMap<(u64, u64), i64>,
 }
 
 impl Reader {
-    fn log(&mut self, number: usize, path: &Path) -> io::Result<()> {
+    fn read_log(&mut self, number: usize, path: &Path) -> io::Result<()> {
         let mut lines = BufReader::new(File::open(path)?);
-        let (mut text, mut own) = (Vec::new(), Own::default());
-        let (mut read, mut strange) = (0u64, 0u64);
+        let (mut text, mut state) = (Vec::new(), ForwarderState::default());
+        let (mut read, mut unrecognized) = (0u64, 0u64);
         loop {
             text.clear();
-            let length = io::Read::take(&mut lines, LINE_MOST as u64).read_until(b'\n', &mut text)?;
+            let length = io::Read::take(&mut lines, MAX_LINE_BYTES as u64).read_until(b'\n', &mut text)?;
             if length == 0 {
                 break;
             }
-            let whole = text.ends_with(b"\n");
+            let complete = text.ends_with(b"\n");
             let line = String::from_utf8_lossy(&text);
-            if !whole {
-                self.counts.log_errors.push((path.to_owned(), "its last line is cut off".to_owned()));
+            if !complete {
+                self.counts.log_errors.push((path.to_owned(), "the last line is cut off".to_owned()));
             }
-            match Line::read(line.trim_end()) {
+            match Line::parse(line.trim_end()) {
                 Some(line) => {
                     read += 1;
-                    self.line(number, &mut own, &line);
+                    self.read_line(number, &mut state, &line);
                 }
-                None => strange += u64::from(whole),
+                None => unrecognized += u64::from(complete),
             }
         }
         if read == 0 {
-            return Err(io::Error::other(if strange == 0 { "it is empty" } else { "no line is ours" }));
+            return Err(io::Error::other(if unrecognized == 0 {
+                "the log is empty"
+            } else {
+                "no line was recognized"
+            }));
         }
-        if strange > 0 {
-            let what = format!("{strange} lines are not ours, {read} were counted");
+        if unrecognized > 0 {
+            let what = format!("{unrecognized} lines were not recognized, {read} were counted");
             self.counts.log_errors.push((path.to_owned(), what));
         }
         Ok(())
@@ -197,74 +201,80 @@
         self.counts.cells.entry((number, dest, at.div_euclid(1_000_000))).or_default()
     }
 
-    fn suspect(&mut self, number: usize, line: &Line<'_>, id: &str, what: &'static str) {
-        *self.counts.suspected_totals.entry(what).or_default() += 1;
-        if self.counts.suspected_breaches.len() < SUSPECTS_MOST {
-            let suspect =
-                SuspectedBreach { id: id.to_owned(), at_us: line.at, forwarder: number, rule: what };
+    fn suspect(&mut self, number: usize, line: &Line<'_>, id: &str, rule: &'static str) {
+        *self.counts.suspected_totals.entry(rule).or_default() += 1;
+        if self.counts.suspected_breaches.len() < MAX_SUSPECTED_BREACHES {
+            let suspect = SuspectedBreach { id: id.to_owned(), at_us: line.at_us, forwarder: number, rule };
             self.counts.suspected_breaches.push(suspect);
         }
     }
 
-    fn line(&mut self, number: usize, own: &mut Own, line: &Line<'_>) {
-        let at = line.at;
-        if line.what == "starts" {
-            // A new process: what was out is over, as far as this forwarder can tell.
+    fn read_line(&mut self, number: usize, state: &mut ForwarderState, line: &Line<'_>) {
+        let at = line.at_us;
+        if line.event == "starts" {
+            // A new process: the attempts in flight ended with the previous one.
             self.effects = effects(line.rest);
-            own.sent.clear();
+            state.sent.clear();
             return;
         }
         let Some(id) = line.field("id").or_else(|| line.field("first")) else { return };
         let key = hash(id);
-        let of = own.dests.get(&key).copied();
-        let dest = line.number("dest").or(of).unwrap_or(0);
-        match line.what {
+        let known_dest = state.dests.get(&key).copied();
+        let dest = line.number("dest").or(known_dest).unwrap_or(0);
+        match line.event {
             "taken" => {
-                own.dests.insert(key, dest);
-                let known = self.known.entry(key).or_default();
-                known.open = true;
-                known.class = line.number("class").unwrap_or(0) as u8;
+                state.dests.insert(key, dest);
+                let message = self.messages.entry(key).or_default();
+                message.open = true;
+                message.class = line.number("class").unwrap_or(0) as u8;
                 self.cell(number, dest, at).taken += 1;
             }
             "sent" => {
                 self.cell(number, dest, at).sent += 1;
                 let attempt = line.number("attempt").unwrap_or(0);
-                own.sent.insert((key, attempt), at);
-                let known = self.known.entry(key).or_default();
-                let effect = self.effects.get(usize::from(known.class)).copied().unwrap_or(Effect::Safe);
-                let again = match (effect, known.risk) {
+                state.sent.insert((key, attempt), at);
+                let message = self.messages.entry(key).or_default();
+                let effect = self.effects.get(usize::from(message.class)).copied().unwrap_or(Effect::Safe);
+                let breach = match (effect, message.first_risky_us) {
                     (Effect::Unsafe, Some(_)) => Some("unsafe, sent after an attempt that may have run"),
                     (Effect::Keyed(life), Some(first)) if at > first + life => {
                         Some("keyed, sent after its key's life")
                     }
                     _ => None,
                 };
-                known.out = known.out.saturating_add(1);
-                if let Some(what) = again {
-                    self.suspect(number, line, id, what);
+                message.in_flight = message.in_flight.saturating_add(1);
+                if let Some(rule) = breach {
+                    self.suspect(number, line, id, rule);
                 }
-                if own.waits.get(&dest).is_some_and(|until| at + WAIT_GRACE < *until) {
+                if state.waits.get(&dest).is_some_and(|until| at + WAIT_GRACE_US < *until) {
                     self.suspect(number, line, id, "sent within a wait");
                 }
             }
             "written" => self.cell(number, dest, at).written += 1,
-            "ended" => self.ended(number, own, line, id, dest),
+            "ended" => self.read_ended(number, state, line, id, dest),
             "given up" => {
                 let refused = line.field("end") == Some("Refused");
                 let cell = self.cell(number, dest, at);
                 *(if refused { &mut cell.refused } else { &mut cell.failed }) += 1;
-                self.known.entry(key).or_default().open = false;
+                self.messages.entry(key).or_default().open = false;
             }
             _ => {}
         }
     }
 
-    fn ended(&mut self, number: usize, own: &mut Own, line: &Line<'_>, id: &str, dest: u64) {
-        let (at, key) = (line.at, hash(id));
+    fn read_ended(
+        &mut self,
+        number: usize,
+        state: &mut ForwarderState,
+        line: &Line<'_>,
+        id: &str,
+        dest: u64,
+    ) {
+        let (at, key) = (line.at_us, hash(id));
         let attempt = line.number("attempt").unwrap_or(0);
-        let sent = own.sent.remove(&(key, attempt)).unwrap_or(at);
-        if let Some(wait) = line.wait() {
-            let until = own.waits.entry(dest).or_insert(0);
+        let sent = state.sent.remove(&(key, attempt)).unwrap_or(at);
+        if let Some(wait) = line.wait_us() {
+            let until = state.waits.entry(dest).or_insert(0);
             *until = (*until).max(at + wait);
         }
         let outcome = line.field("outcome").unwrap_or("");
@@ -275,18 +285,18 @@
             "ConnectFailed" | "NotSent" => cell.never_ran += 1,
             _ => cell.may_have_run += 1,
         }
-        let known = self.known.entry(key).or_default();
-        known.out = known.out.saturating_sub(1);
+        let message = self.messages.entry(key).or_default();
+        message.in_flight = message.in_flight.saturating_sub(1);
         let mut twice = false;
         match outcome {
             "Delivered" => {
-                twice = known.delivered > 0;
-                known.delivered = known.delivered.saturating_add(1);
-                known.open = false;
-                known.risk.get_or_insert(sent);
+                twice = message.delivered > 0;
+                message.delivered = message.delivered.saturating_add(1);
+                message.open = false;
+                message.first_risky_us.get_or_insert(sent);
             }
             "Full" | "ConnectFailed" | "NotSent" => {}
-            _ => drop(known.risk.get_or_insert(sent)),
+            _ => drop(message.first_risky_us.get_or_insert(sent)),
         }
         if twice {
             self.suspect(number, line, id, "delivered more than once");
@@ -300,32 +310,33 @@
     hasher.finish()
 }
 
-/// Classes in the order of the settings.
+/// Parses the effects of the classes, in the order of the settings.
 fn effects(settings: &str) -> Vec<Effect> {
-    let told = settings.split("effect: ").skip(1);
-    told.map(|text| match text.split([',', ' ']).next() {
-        Some("Unsafe") => Effect::Unsafe,
-        Some("Keyed") => {
-            let life = text.split("life: ").nth(1).map(|t| t.split([',', ' ']).next().unwrap_or(""));
-            Effect::Keyed(life.and_then(|l| l.parse().ok()).unwrap_or(i64::MAX / 2))
-        }
-        _ => Effect::Safe,
-    })
-    .collect()
+    let classes = settings.split("effect: ").skip(1);
+    classes
+        .map(|text| match text.split([',', ' ']).next() {
+            Some("Unsafe") => Effect::Unsafe,
+            Some("Keyed") => {
+                let life = text.split("life: ").nth(1).map(|t| t.split([',', ' ']).next().unwrap_or(""));
+                Effect::Keyed(life.and_then(|l| l.parse().ok()).unwrap_or(i64::MAX / 2))
+            }
+            _ => Effect::Safe,
+        })
+        .collect()
 }
 
-/// One line of a log.
+/// A parsed line of a debug log.
 #[derive(Debug)]
 struct Line<'a> {
-    at: i64,
-    what: &'a str,
+    at_us: i64,
+    event: &'a str,
     rest: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// `2026-12-01T20:00:00.123456Z DEBUG sent id=a attempt=0 dest=7`; a word that whoever kept the log put before each
-    /// line is passed over.
-    fn read(text: &'a str) -> Option<Self> {
+    /// Parses a line such as `2026-12-01T20:00:00.123456Z DEBUG sent id=a attempt=0 dest=7`. One word before the time
+    /// stamp is skipped, as log collectors add one to each line.
+    fn parse(text: &'a str) -> Option<Self> {
         let (first, after) = text.split_once(' ')?;
         let stamped = |stamp: &str| humantime::parse_rfc3339(stamp).ok();
         let (time, rest) = match stamped(first) {
@@ -338,12 +349,12 @@
         let time = time.duration_since(UNIX_EPOCH).ok()?;
         let rest = rest.trim_start();
         let (_, rest) = rest.split_once(' ')?;
-        // The words before the first field.
+        // The event text ends before the first field.
         let end = rest.find('=').map_or(rest.len(), |at| rest[..at].rfind(' ').unwrap_or(0));
-        Some(Line { at: time.as_micros() as i64, what: rest[..end].trim(), rest: &rest[end..] })
+        Some(Line { at_us: time.as_micros() as i64, event: rest[..end].trim(), rest: &rest[end..] })
     }
 
-    /// A field's value, up to the next space; without quotes.
+    /// Returns the value of a field up to the next space, without quotes.
     fn field(&self, name: &str) -> Option<&'a str> {
         let mut from = 0;
         while let Some(at) = self.rest[from..].find(name) {
@@ -362,11 +373,11 @@
         self.field(name)?.parse().ok()
     }
 
-    /// A wait that the answer told (microseconds): its own field, or within the outcome.
-    fn wait(&self) -> Option<i64> {
-        let own = self.field("wait").map(|w| w.trim_start_matches("Some(").trim_end_matches(')'));
-        let within = self.rest.split("Full { wait: Some(").nth(1).and_then(|t| t.split(')').next());
-        within.or(own)?.parse().ok()
+    /// Returns the wait that the answer returned, in microseconds: from the outcome or from the field `wait`.
+    fn wait_us(&self) -> Option<i64> {
+        let field = self.field("wait").map(|w| w.trim_start_matches("Some(").trim_end_matches(')'));
+        let in_outcome = self.rest.split("Full { wait: Some(").nth(1).and_then(|t| t.split(')').next());
+        in_outcome.or(field)?.parse().ok()
     }
 }
 
@@ -384,7 +395,7 @@
                           Unsafe, aim: 1 }, Class { effect: Keyed { life: 2000000, per_zone: false }, aim: 1 }] }";
 
     #[test]
-    fn a_way_is_counted_and_what_a_rule_concerns_is_named() {
+    fn counts_each_step_and_names_suspected_breaches() {
         let a = log(
             "a",
             &[
@@ -417,7 +428,7 @@
         assert!(counts.log_errors.is_empty(), "{:?}", counts.log_errors);
         let mut sum = Cell::default();
         counts.cells.values().for_each(|cell| sum.add(cell));
-        let wanted = Cell {
+        let expected = Cell {
             taken: 2,
             sent: 6,
             written: 1,
@@ -428,11 +439,11 @@
             refused: 0,
             failed: 1,
         };
-        assert_eq!(sum, wanted);
+        assert_eq!(sum, expected);
         assert_eq!((counts.messages, counts.delivered), (2, 1));
-        let told: Vec<_> = counts.suspected_breaches.iter().map(|s| (s.id.as_str(), s.rule)).collect();
+        let suspected: Vec<_> = counts.suspected_breaches.iter().map(|s| (s.id.as_str(), s.rule)).collect();
         assert_eq!(
-            told,
+            suspected,
             [
                 ("m1", "unsafe, sent after an attempt that may have run"),
                 ("m1", "unsafe, sent after an attempt that may have run"),
@@ -443,7 +454,7 @@
     }
 
     #[test]
-    fn a_log_that_is_missing_empty_cut_off_or_strange_is_told_and_the_rest_counted() {
+    fn reports_missing_empty_truncated_and_unrecognized_logs_and_counts_the_rest() {
         let cut = log(
             "cut",
             &[
@@ -452,11 +463,13 @@
             ],
         );
         let empty = log("empty", &[]);
-        let strange = log("strange", &["what is this", "and this", ""]);
-        let counts = count(&[cut, empty, strange, PathBuf::from("/nowhere.log")]);
-        let told: Vec<_> = counts.log_errors.iter().map(|(_, what)| what.as_str()).collect();
-        assert_eq!(told.len(), 4, "{told:?}");
-        assert!(told[0].contains("cut off") && told[1].contains("empty") && told[2].contains("no line"));
+        let unrecognized = log("unrecognized", &["what is this", "and this", ""]);
+        let counts = count(&[cut, empty, unrecognized, PathBuf::from("/nowhere.log")]);
+        let errors: Vec<_> = counts.log_errors.iter().map(|(_, what)| what.as_str()).collect();
+        assert_eq!(errors.len(), 4, "{errors:?}");
+        assert!(
+            errors[0].contains("cut off") && errors[1].contains("empty") && errors[2].contains("no line")
+        );
         assert_eq!(counts.cells.values().map(|c| c.taken).sum::<u64>(), 1);
     }
 }
--- a/crates/rig/src/fleet/processes.rs
+++ b/crates/rig/src/fleet/processes.rs
@@ -2,7 +2,7 @@
 
 use super::relay::{Back, Relay};
 use super::scene::{FleetAct, FleetScene, Sharing, StateFolder};
-use crate::play::{Stage, stage};
+use crate::play::{StandIns, start_stand_ins};
 use crate::script::Dest;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -33,7 +33,7 @@
 pub(super) struct Seat {
     pub(super) process: Process,
     pub(super) ledger: Ledger,
-    pub(super) stage: Stage,
+    pub(super) stage: StandIns,
     config: Value,
     /// Its identity, and what it keeps of duties as a voter, as they were at each start.
     identities: Vec<Vec<u8>>,
@@ -271,7 +271,7 @@
             calls_per_sec: 60.0,
             faults: faults.clone(),
         };
-        let stage = stage(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
+        let stage = start_stand_ins(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
         let figures = ConfigParams {
             classes: CLASSES.to_vec(),
             key_ttl_ms: KEY_LIFE,
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,11 +1,11 @@
-//! The fault rig: a seed becomes a [`Script`], the script is played on loopback against the real program, and the
-//! ledger of all stand-ins is judged by the six rules.
+//! The fault-injection rig. A seed determines a [`Script`]; the script is played on loopback against the real program,
+//! and the checker judges the ledger of all stand-ins by the six rules.
 //!
-//! - `script`, `play`, `sweep`: what a seed draws, one run of it, many beside each other
-//! - `load`: many messages a second
-//! - `count`: what many forwarders' logs tell together
-//! - `fleet`: several processes that know each other, with faults between them
-//! - `bugs`, `scratch`: known bugs as patches, and the program built with one of them
+//! - `script`, `play`, `sweep`: drawing a script from a seed, playing one script, and playing many in parallel
+//! - `load`: load generation over persistent connections
+//! - `count`: statistics over the debug logs of several forwarders
+//! - `fleet`: chaos scenes over several processes that form a fleet
+//! - `bugs`, `scratch`: planted bugs as patches (mutation testing), and builds of the program with one applied
 //!
 //! ```
 //! use yarrowhill_rig::Script;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,6 +1,6 @@
 //! Many messages a second over kept connections, some of them handed in once more under their id.
 
-use crate::play::{RunOutcome, Stage, ms, stage, watch_clock};
+use crate::play::{RunOutcome, StandIns, ms, start_stand_ins, watch_clock};
 use crate::script::Dest;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -128,7 +128,7 @@
     };
     let list: Vec<Dest> = (0..load.dests).map(dest).collect();
     let mut rng = Rng::seed_from_u64(load.seed);
-    let Stage { discovery, lines, endpoints, .. } = stage(&list, &mut rng, &ledger).await?;
+    let StandIns { discovery, lines, endpoints, .. } = start_stand_ins(&list, &mut rng, &ledger).await?;
     let class = |name, idempotency| Class { name, idempotency, deadline_ms: load.deadline_ms };
     let figures = ConfigParams {
         classes: vec![class(KEYED, "token"), class(UNSAFE, "side_effect")],
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a script.
+//! Plays a script: starts stand-ins and the program, generates traffic, injects the faults, and judges the ledger.
 
 use crate::script::{Act, Dest, Script};
 use rand::{RngExt, SeedableRng};
@@ -18,39 +18,39 @@
     free_address, submit,
 };
 
-/// A run whose own clocks were later than this (ms) judges nobody.
-pub(crate) const LATE_MOST: f64 = 250.0;
-/// A process that ended by itself starts again after this time.
-const AGAIN: Duration = Duration::from_millis(300);
-/// After SIGTERM the program has so long.
-const TERM_MOST: Duration = Duration::from_millis(3700);
+/// Maximum lateness of the rig's own clocks (ms). A run that was later than this gives no valid result.
+pub(crate) const MAX_LATENESS_MS: f64 = 250.0;
+/// Pause before a process that has exited is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Time between SIGTERM and SIGKILL, as on the platform.
+const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
 
-/// What came of a run.
+/// Result of one run.
 #[derive(Debug)]
 pub struct RunOutcome {
-    /// Rules that were broken.
+    /// Breaches of the six rules.
     pub breaches: Vec<Breach>,
-    /// What became of the messages, by class.
+    /// Message totals by class.
     pub accounts: BTreeMap<String, Account>,
-    /// How late the run's own clocks were at most (ms).
+    /// Maximum lateness of the rig's own clocks (ms).
     pub lateness_ms: f64,
-    /// All that stand-ins saw.
+    /// Entries that the stand-ins wrote.
     pub ledger: Vec<Entry>,
-    /// What several processes should not have believed or done, where there were several.
+    /// Breaches of the fleet rules, in runs with several processes.
     pub fleet_breaches: Vec<FleetBreach>,
-    /// Why the program ended although nobody told it to.
+    /// Exit status of the program, if it exited without a signal or fault point.
     pub crashed: Option<String>,
 }
 
 impl RunOutcome {
-    /// Whether all rules were kept and the program lived.
+    /// Returns whether all rules were kept and the program did not crash.
     pub fn is_clean(&self) -> bool {
         self.breaches.is_empty() && self.fleet_breaches.is_empty() && self.crashed.is_none()
     }
 }
 
-/// The world of one run.
-struct World {
+/// State of one run: the stand-ins, the program and the pending actions.
+struct ScriptRun {
     ledger: Ledger,
     dests: Vec<Destination>,
     endpoints: Vec<Vec<Option<Endpoint>>>,
@@ -58,21 +58,21 @@
     process: Process,
     config: Value,
     damage: Option<f64>,
-    /// The journal that is damaged.
+    /// Journal file that is damaged, relative to the folder of the process.
     journal: std::path::PathBuf,
-    /// Started beside each other, so that one that takes time holds nothing up.
-    later: Vec<(Instant, Later)>,
+    /// Follow-up actions with their times, so that an act that lasts does not delay the next one.
+    pending: Vec<(Instant, FollowUp)>,
 }
 
-/// What an act has set off for later.
-enum Later {
-    Back(usize),
-    Gone { dest: usize, endpoint: usize },
-    Talk,
+/// Action that ends or completes an act at a later time.
+enum FollowUp {
+    RecoverDestination(usize),
+    ReplaceEndpoint { dest: usize, endpoint: usize },
+    ResumeDiscovery,
 }
 
-/// The stand-ins of a run, started.
-pub(crate) struct Stage {
+/// The running stand-ins of a run.
+pub(crate) struct StandIns {
     pub(crate) dests: Vec<Destination>,
     pub(crate) endpoints: Vec<Vec<Option<Endpoint>>>,
     pub(crate) discovery: Discovery,
@@ -80,38 +80,45 @@
 }
 
 /// Starts destinations with their endpoints, and a discovery that lists them.
-pub(crate) async fn stage(list: &[Dest], rng: &mut Rng, ledger: &Ledger) -> io::Result<Stage> {
+pub(crate) async fn start_stand_ins(list: &[Dest], rng: &mut Rng, ledger: &Ledger) -> io::Result<StandIns> {
     let (mut dests, mut endpoints, mut lines) = (Vec::new(), Vec::new(), Vec::new());
     for d in list {
-        let chance = Rng::from_rng(rng);
-        let dest =
-            Destination::new(d.number, d.call_ms, d.calls_per_sec, d.faults.clone(), chance, ledger.clone());
-        let mut own = Vec::new();
+        let dest_rng = Rng::from_rng(rng);
+        let dest = Destination::new(
+            d.number,
+            d.call_ms,
+            d.calls_per_sec,
+            d.faults.clone(),
+            dest_rng,
+            ledger.clone(),
+        );
+        let mut dest_endpoints = Vec::new();
         for n in 0..d.endpoints {
             let uid = format!("s-{}-{n}", d.number);
             let endpoint = Endpoint::start(&uid, loopback(), &dest).await?;
             let kind = if d.batches { "several" } else { "plain" };
             lines.push(EndpointLine::new(&uid, endpoint.addr, d.number, kind, d.calls_per_sec));
-            own.push(Some(endpoint));
+            dest_endpoints.push(Some(endpoint));
         }
         dests.push(dest);
-        endpoints.push(own);
+        endpoints.push(dest_endpoints);
     }
     let discovery = Discovery::start(lines.clone(), ledger.clone()).await?;
-    Ok(Stage { dests, endpoints, discovery, lines })
+    Ok(StandIns { dests, endpoints, discovery, lines })
 }
 
-/// Plays a script against a program, in a folder of its own.
+/// Plays a script against `program`, with `folder` as its working folder.
 ///
 /// # Errors
 ///
-/// The stand-ins or the program can't be started.
+/// The stand-ins or the program cannot be started.
 pub async fn play_script(script: &Script, program: &Path, folder: &Path) -> io::Result<RunOutcome> {
     let ledger = Ledger::default();
     let lateness_ms = Arc::new(AtomicU64::new(0));
     let watch = tokio::spawn(watch_clock(lateness_ms.clone()));
     let mut rng = Rng::seed_from_u64(script.seed);
-    let Stage { dests, endpoints, discovery, lines } = stage(&script.dests, &mut rng, &ledger).await?;
+    let StandIns { dests, endpoints, discovery, lines } =
+        start_stand_ins(&script.dests, &mut rng, &ledger).await?;
     let config = script.config(free_address()?, discovery.addr, &lines);
     let mut env = Vec::new();
     env.extend(
@@ -132,19 +139,28 @@
         1 => "state/journal".into(),
         shards => format!("state/layout-1-{shards}/shard-0/journal").into(),
     };
-    let mut world =
-        World { ledger, dests, endpoints, discovery, process, config, damage, journal, later: Vec::new() };
+    let mut run = ScriptRun {
+        ledger,
+        dests,
+        endpoints,
+        discovery,
+        process,
+        config,
+        damage,
+        journal,
+        pending: Vec::new(),
+    };
     let end = start + ms(script.traffic_ms());
-    let crashed = world.act(script, start, end + ms(script.settle_ms())).await?;
+    let crashed = run.inject_faults(script, start, end + ms(script.settle_ms())).await?;
     let _ = clients.await;
-    let World { ledger, mut process, .. } = world;
+    let ScriptRun { ledger, mut process, .. } = run;
     let entries = ledger.entries();
     process.kill().await?;
     watch.abort();
     let lateness_ms = f64::from_bits(lateness_ms.load(Ordering::Relaxed));
     let mut breaches = judge(&script.rule_params(lateness_ms), &entries);
     if script.damage.is_some() {
-        // What stood in damaged bytes may be lost; that nothing runs twice holds all the same.
+        // Records in damaged bytes may be lost. No message may run twice even then.
         breaches.retain(|breach| breach.rule != Rule::Lost);
     }
     Ok(RunOutcome {
@@ -157,29 +173,34 @@
     })
 }
 
-impl World {
-    async fn act(&mut self, script: &Script, start: Instant, end: Instant) -> io::Result<Option<String>> {
+impl ScriptRun {
+    async fn inject_faults(
+        &mut self,
+        script: &Script,
+        start: Instant,
+        end: Instant,
+    ) -> io::Result<Option<String>> {
         let mut acts = script.acts.iter().peekable();
-        let mut healed = false;
+        let mut faults_cleared = false;
         while Instant::now() < end {
             if let Some((_, act)) = acts.next_if(|(at, _)| Instant::now() >= start + ms(*at)) {
                 self.begin(act).await?;
             }
             let now = Instant::now();
-            if let Some(n) = self.later.iter().position(|(at, _)| *at <= now) {
-                let (_, later) = self.later.remove(n);
-                self.finish(later).await?;
+            if let Some(n) = self.pending.iter().position(|(at, _)| *at <= now) {
+                let (_, follow_up) = self.pending.remove(n);
+                self.finish(follow_up).await?;
             }
-            if !healed && now >= start + ms(script.traffic_ms()) {
-                healed = true;
+            if !faults_cleared && now >= start + ms(script.traffic_ms()) {
+                faults_cleared = true;
                 self.dests.iter().for_each(Destination::clear_faults);
                 self.discovery.drop_notices(0);
             }
             if let Some(status) = self.process.try_exit_status()? {
                 if script.exit_at.is_none() {
-                    return Ok(Some(format!("the program ended: {status}")));
+                    return Ok(Some(format!("the program exited unexpectedly: {status}")));
                 }
-                sleep(AGAIN).await;
+                sleep(RESTART_DELAY).await;
                 self.restart("YARROWHILL_DIE").await?;
             }
             sleep(Duration::from_millis(5)).await;
@@ -199,18 +220,18 @@
             }
             Act::Terminate => {
                 self.process.signal("TERM").await?;
-                if self.process.wait_exit(TERM_MOST).await.is_err() {
+                if self.process.wait_exit(TERM_TIMEOUT).await.is_err() {
                     self.process.kill().await?;
                 }
-                sleep(AGAIN).await;
+                sleep(RESTART_DELAY).await;
                 self.restart("").await?;
             }
             Act::Reload => {
-                let twin = self.discovery.start_replica().await?;
-                self.config["discovery"] = twin.addr.to_string().into();
+                let replica = self.discovery.start_replica().await?;
+                self.config["discovery"] = replica.addr.to_string().into();
                 self.process.reload(&self.config).await?;
-                let old = std::mem::replace(&mut self.discovery, twin);
-                // The old one closes what is open only after a while, as the platform's does.
+                let old = std::mem::replace(&mut self.discovery, replica);
+                // The old discovery closes its connections only after 1.5 s, as the platform's closes them late.
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(1500)).await;
                     drop(old);
@@ -218,25 +239,26 @@
             }
             Act::Down { dest, shut, duration_ms } => {
                 self.dests[*dest].go_down(*shut, *duration_ms);
-                self.later.push((Instant::now() + ms(*duration_ms), Later::Back(*dest)));
+                self.pending.push((Instant::now() + ms(*duration_ms), FollowUp::RecoverDestination(*dest)));
             }
             Act::Replace { dest, endpoint, drain_ms } => {
                 if let Some(old) = &self.endpoints[*dest][*endpoint] {
                     self.discovery.set_state(&old.uid, "terminating");
-                    let gone = Later::Gone { dest: *dest, endpoint: *endpoint };
-                    self.later.push((Instant::now() + ms(*drain_ms), gone));
+                    let replace = FollowUp::ReplaceEndpoint { dest: *dest, endpoint: *endpoint };
+                    self.pending.push((Instant::now() + ms(*drain_ms), replace));
                 }
             }
             Act::Stale(duration_ms) => {
                 self.discovery.set_silent(true);
-                self.later.push((Instant::now() + ms(*duration_ms), Later::Talk));
+                self.pending.push((Instant::now() + ms(*duration_ms), FollowUp::ResumeDiscovery));
             }
             Act::DropNotices(nth) => self.discovery.drop_notices(*nth),
         }
         Ok(())
     }
 
-    /// The platform tells a new process the list as this forwarder last had it.
+    /// Restarts the process without the environment variable `without`. As on the platform, its configuration contains
+    /// the endpoint list that the previous process had last.
     async fn restart(&mut self, without: &str) -> io::Result<()> {
         let (rev, lines) = (self.discovery.rev(), self.discovery.lines());
         let known: Vec<EndpointLine> = lines.into_iter().filter(|l| l.state != "terminated").collect();
@@ -244,20 +266,20 @@
         self.process.restart(&self.config, without).await
     }
 
-    async fn finish(&mut self, later: Later) -> io::Result<()> {
-        match later {
-            Later::Back(dest) => self.dests[dest].recover(2000.0),
-            Later::Talk => self.discovery.set_silent(false),
-            Later::Gone { dest, endpoint } => {
+    async fn finish(&mut self, follow_up: FollowUp) -> io::Result<()> {
+        match follow_up {
+            FollowUp::RecoverDestination(dest) => self.dests[dest].recover(2000.0),
+            FollowUp::ResumeDiscovery => self.discovery.set_silent(false),
+            FollowUp::ReplaceEndpoint { dest, endpoint } => {
                 let Some(old) = self.endpoints[dest][endpoint].take() else { return Ok(()) };
                 let (uid, addr) = (old.uid.clone(), old.addr);
                 self.discovery.set_state(&uid, "terminated");
                 drop(old);
-                // Its connections end with it; then another stands at its address.
+                // The old endpoint's connections are closed first; then a new endpoint starts at its address.
                 sleep(Duration::from_millis(20)).await;
                 let line = self.discovery.lines().into_iter().find(|l| l.uid == uid);
                 let new = Endpoint::start(&format!("{uid}x"), addr, &self.dests[dest]).await;
-                // The port may have gone to somebody else meanwhile: then nobody stands there.
+                // Another process may have taken the port meanwhile: then no endpoint replaces the old one.
                 if let (Some(line), Ok(new)) = (line, new) {
                     let state = "in_service".to_owned();
                     self.discovery.set_line(EndpointLine { uid: new.uid.clone(), state, ..line });
@@ -269,13 +291,13 @@
     }
 }
 
-/// Clients, each a task of its own.
+/// Generates the traffic of a script. Each client runs in its own task.
 async fn traffic(script: Script, mut rng: Rng, to: SocketAddr, dests: Vec<Destination>, ledger: Ledger) {
     let start = Instant::now();
     let mut clients = JoinSet::new();
     let mut at = 0.0;
     for n in 0u64.. {
-        // At random, now and then in a clump.
+        // A Poisson process; 30 % of the messages arrive together with the previous one.
         at += if rng.random_bool(0.3) {
             0.0
         } else {
@@ -286,7 +308,7 @@
         }
         sleep_until(start + ms(at)).await;
         let (class, deadline_ms) = Script::draw_class(&mut rng);
-        // The first destination gets the most.
+        // The first destination gets the largest share.
         let place = if rng.random_bool(0.4) { 0 } else { rng.random_range(0..dests.len()) };
         let message = Message {
             id: format!("{:x}-{n}", script.seed),
@@ -296,14 +318,14 @@
             deadline_ms,
             body_bytes: rng.random_range(0..600),
         };
-        let [leaves, half, twice] = script.client_faults;
-        let patience = ClientOptions {
-            timeout_ms: if rng.random_bool(leaves) { rng.random_range(1..=10) } else { 400 },
-            abort_midway: rng.random_bool(half),
+        let [early_timeout, abort_midway, duplicate] = script.client_faults;
+        let options = ClientOptions {
+            timeout_ms: if rng.random_bool(early_timeout) { rng.random_range(1..=10) } else { 400 },
+            abort_midway: rng.random_bool(abort_midway),
         };
-        let twice = rng.random_bool(twice);
+        let duplicate = rng.random_bool(duplicate);
         let (dest, ledger) = (dests[place].clone(), ledger.clone());
-        clients.spawn(async move { client(to, message, patience, twice, &dest, &ledger).await });
+        clients.spawn(async move { client(to, message, options, duplicate, &dest, &ledger).await });
     }
     while clients.join_next().await.is_some() {}
 }
@@ -311,41 +333,42 @@
 async fn client(
     to: SocketAddr,
     mut message: Message,
-    patience: ClientOptions,
-    twice: bool,
+    options: ClientOptions,
+    duplicate: bool,
     dest: &Destination,
     ledger: &Ledger,
 ) {
     let first = ledger.now();
-    let up = first + message.deadline_ms as f64;
-    dest.set_deadline(&message.id, up);
-    let (heard, wait) = if twice {
-        let whole = ClientOptions { abort_midway: false, ..patience };
-        let (a, _) = tokio::join!(submit(to, &message, whole, ledger), submit(to, &message, whole, ledger));
-        // The same message, handed in once more later.
+    let deadline = first + message.deadline_ms as f64;
+    dest.set_deadline(&message.id, deadline);
+    let (outcome, wait) = if duplicate {
+        let complete = ClientOptions { abort_midway: false, ..options };
+        let (first_answer, _) =
+            tokio::join!(submit(to, &message, complete, ledger), submit(to, &message, complete, ledger));
+        // Submits the same message a third time, later.
         sleep(Duration::from_millis(150)).await;
-        submit(to, &message, whole, ledger).await;
-        a
+        submit(to, &message, complete, ledger).await;
+        first_answer
     } else {
-        submit(to, &message, patience, ledger).await
+        submit(to, &message, options, ledger).await
     };
-    let pause = match heard {
+    let pause = match outcome {
         ClientOutcome::Status(429 | 503) => wait.unwrap_or(200.0),
         ClientOutcome::Left => 50.0,
         ClientOutcome::Broken => 300.0,
         ClientOutcome::Status(_) => return,
     };
     sleep(ms(pause)).await;
-    let left = up - ledger.now();
+    let left = deadline - ledger.now();
     if left > 100.0 {
         message.id.push_str("-again");
         message.deadline_ms = left as u64;
-        dest.set_deadline(&message.id, up);
+        dest.set_deadline(&message.id, deadline);
         submit(to, &message, ClientOptions::default(), ledger).await;
     }
 }
 
-/// Flips some bytes of a file.
+/// Corrupts up to 40 bytes of a file from `part` of its length on.
 fn damage(path: &Path, part: f64) -> io::Result<()> {
     let mut text = std::fs::read(path)?;
     let at = (part * text.len() as f64) as usize;
@@ -353,8 +376,8 @@
     std::fs::write(path, text)
 }
 
-/// Notes how much later than it asked for a task is woken.
-pub(crate) async fn watch_clock(most: Arc<AtomicU64>) {
+/// Measures by how much timers of this process fire late, and stores the maximum (ms, as the bits of an `f64`).
+pub(crate) async fn watch_clock(max_lateness: Arc<AtomicU64>) {
     let step = Duration::from_millis(10);
     let mut worst: f64 = 0.0;
     loop {
@@ -362,21 +385,22 @@
         sleep(step).await;
         let late = before.elapsed().saturating_sub(step).as_secs_f64() * 1000.0;
         worst = worst.max(late);
-        most.store(worst.to_bits(), Ordering::Relaxed);
+        max_lateness.store(worst.to_bits(), Ordering::Relaxed);
     }
 }
 
-pub(crate) fn ms(span: f64) -> Duration {
-    Duration::from_secs_f64(span.max(0.0) / 1000.0)
+/// Converts milliseconds to a duration; negative values give zero.
+pub(crate) fn ms(millis: f64) -> Duration {
+    Duration::from_secs_f64(millis.max(0.0) / 1000.0)
 }
 
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A folder for a run.
-pub(crate) fn folder(name: &str) -> PathBuf {
-    static MADE: AtomicU64 = AtomicU64::new(0);
-    let made = MADE.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!("yarrowhill-rig-{}-{made}-{name}", std::process::id()))
+/// Returns the path of a folder for a run, unique within this process.
+pub(crate) fn run_folder(name: &str) -> PathBuf {
+    static NEXT: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    std::env::temp_dir().join(format!("yarrowhill-rig-{}-{number}-{name}", std::process::id()))
 }
--- a/crates/rig/src/sweep.rs
+++ b/crates/rig/src/sweep.rs
@@ -1,9 +1,9 @@
-//! Many seeds beside each other, and what is made for a bug.
+//! Plays many seeds in parallel: the scripts that they draw, or the scenes made for a planted bug.
 
 use crate::bugs::{Bug, Scene};
 use crate::fleet::play_scene;
 use crate::load::play_load;
-use crate::play::{LATE_MOST, RunOutcome, folder, play_script};
+use crate::play::{MAX_LATENESS_MS, RunOutcome, play_script, run_folder};
 use crate::script::Script;
 use std::io;
 use std::path::Path;
@@ -11,48 +11,48 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// A run that was late judges nobody and is played again, so often.
-const TRIES: usize = 3;
+/// Number of times that a run is played while the rig's own clocks were too late for its result to be valid.
+const MAX_TRIES: usize = 3;
 
-/// What to play.
+/// Parameters of a sweep.
 #[derive(Clone, Debug)]
 pub struct Sweep<'a> {
-    /// The program, built with faults.
+    /// The program, built with fault points.
     pub program: &'a Path,
-    /// Seeds.
+    /// Seeds to play.
     pub seeds: Vec<u64>,
-    /// Runs at once.
+    /// Maximum number of concurrent runs.
     pub jobs: usize,
-    /// Plays what is made for a bug, in place of the scripts that the seeds draw.
+    /// Plays the scene made for this bug in place of the scripts that the seeds draw.
     pub bug: Option<Bug>,
-    /// The forwarder's shards.
+    /// Number of shards of the forwarder.
     pub shards: usize,
-    /// Stop at the first run that is not clean.
+    /// Stops at the first run that is not clean.
     pub stop_at_first: bool,
 }
 
-/// Plays the seeds and tells of each run as it ends. Gives those that were not clean.
+/// Plays the seeds, calls `report` for each run as it ends, and returns the runs that were not clean.
 ///
 /// # Errors
 ///
 /// A run could not be played.
 pub async fn sweep(
     sweep: Sweep<'_>,
-    mut told: impl FnMut(u64, &RunOutcome),
+    mut report: impl FnMut(u64, &RunOutcome),
 ) -> io::Result<Vec<(u64, RunOutcome)>> {
-    // Loads beside each other would take each other's rate.
-    let alone = sweep.bug.is_some_and(|bug| matches!(bug.scene(0), Scene::Load(_)));
-    let room = Arc::new(Semaphore::new(if alone { 1 } else { sweep.jobs.max(1) }));
+    // Concurrent loads would reduce each other's rate.
+    let sequential = sweep.bug.is_some_and(|bug| matches!(bug.scene(0), Scene::Load(_)));
+    let permits = Arc::new(Semaphore::new(if sequential { 1 } else { sweep.jobs.max(1) }));
     let mut runs = JoinSet::new();
     for seed in sweep.seeds {
-        let (room, program) = (room.clone(), sweep.program.to_owned());
+        let (permits, program) = (permits.clone(), sweep.program.to_owned());
         let (bug, shards) = (sweep.bug, sweep.shards);
         runs.spawn(async move {
-            let _room = room.acquire_owned().await.map_err(io::Error::other)?;
+            let _permit = permits.acquire_owned().await.map_err(io::Error::other)?;
             for tries in 1.. {
-                let played = one(seed, bug, shards, &program).await?;
-                if played.lateness_ms <= LATE_MOST || tries == TRIES {
-                    return Ok::<_, io::Error>((seed, played));
+                let outcome = play_once(seed, bug, shards, &program).await?;
+                if outcome.lateness_ms <= MAX_LATENESS_MS || tries == MAX_TRIES {
+                    return Ok::<_, io::Error>((seed, outcome));
                 }
             }
             unreachable!("the last try returns")
@@ -60,10 +60,10 @@
     }
     let mut unclean = Vec::new();
     while let Some(run) = runs.join_next().await {
-        let (seed, played) = run.map_err(io::Error::other)??;
-        told(seed, &played);
-        if !played.is_clean() {
-            unclean.push((seed, played));
+        let (seed, outcome) = run.map_err(io::Error::other)??;
+        report(seed, &outcome);
+        if !outcome.is_clean() {
+            unclean.push((seed, outcome));
             if sweep.stop_at_first {
                 break;
             }
@@ -74,17 +74,17 @@
     Ok(unclean)
 }
 
-async fn one(seed: u64, bug: Option<Bug>, shards: usize, program: &Path) -> io::Result<RunOutcome> {
-    let folder = folder(&format!("{seed}-{}", bug.map_or("none", Bug::name)));
-    let played = match bug.map(|bug| bug.scene(seed)) {
+async fn play_once(seed: u64, bug: Option<Bug>, shards: usize, program: &Path) -> io::Result<RunOutcome> {
+    let folder = run_folder(&format!("{seed}-{}", bug.map_or("none", Bug::name)));
+    let outcome = match bug.map(|bug| bug.scene(seed)) {
         None => play_script(&Script::draw(seed).with_shards(shards), program, &folder).await?,
         Some(Scene::Script(script)) => play_script(&script.with_shards(shards), program, &folder).await?,
         Some(Scene::Load(load)) => play_load(&load, program, &folder).await?.into(),
         Some(Scene::Fleet(scene)) => play_scene(&scene, &[program], &folder).await?.into(),
     };
-    if played.is_clean() || std::env::var_os("YARROWHILL_RIG_KEEP").is_none() {
-        // Nothing depends on what is left there.
+    if outcome.is_clean() || std::env::var_os("YARROWHILL_RIG_KEEP").is_none() {
+        // Best effort: a leftover folder affects no later run.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    Ok(played)
+    Ok(outcome)
 }
