--- a/crates/rig/src/bin/yarrowhill-faulty.rs
+++ b/crates/rig/src/bin/yarrowhill-faulty.rs
@@ -1,4 +1,4 @@
-//! The forwarder with fault points: what `yarrowhill` runs, for the rig alone.
+//! The `yarrowhill` forwarder built with fault points, for use by the rig only.
 
 use std::process::ExitCode;
 
--- a/crates/rig/src/fleet/mod.rs
+++ b/crates/rig/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! Several processes of the real program that know each other, with a network of ours between them.
+//! Chaos scenes: several processes of the real program form a fleet, with a simulated network between them.
 //!
-//! - `relay`: one direction between two processes, by UDP and TCP
-//! - `scene`: what happens to them: as a value, as a document, or by a seed
-//! - `processes`: the processes, their folders and what they are told
-//! - `play`: a scene played; what everybody said goes into the ledger that the checker reads
+//! - `relay`: one direction of the network between two processes, for UDP and TCP
+//! - `scene`: the faults of a scene, given as a value, as a document, or by a seed
+//! - `processes`: the processes, their folders, configurations and fleet documents
+//! - `play`: playing a scene and recording what each process reports in the ledger that the checker reads
 
 mod play;
 mod processes;
--- a/crates/rig/src/fleet/processes.rs
+++ b/crates/rig/src/fleet/processes.rs
@@ -1,6 +1,7 @@
-//! The processes of a scene: folders, configurations, what each has for itself, and the network between them.
+//! The processes of a scene: their folders, configurations and fleet documents, the stand-ins of each, and the
+//! simulated network between them.
 
-use super::relay::{Back, Relay};
+use super::relay::{Relay, ReverseRelay};
 use super::scene::{FleetAct, FleetScene, Sharing, StateFolder};
 use crate::play::{StandIns, start_stand_ins};
 use crate::script::Dest;
@@ -18,87 +19,91 @@
     free_address, is_ready,
 };
 
-/// The classes of all messages.
+/// Message classes.
 const CLASSES: [Class; 2] = [
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 2000 },
     Class { name: "settle-order", idempotency: "side_effect", deadline_ms: 2000 },
 ];
-const KEY_LIFE: f64 = 1200.0;
-/// The number of the first of two destinations.
+const KEY_TTL_MS: f64 = 1200.0;
+/// Number of the first of the two destinations.
 pub(super) const FIRST_DEST: u64 = 10;
-/// The rule on returning destinations: multiple, for how long (ms), capacity at first, warm after (ms).
+/// Limits on calls to a recovered destination: overload multiple and its duration (ms), initial capacity, warm-up (ms).
 pub(super) const FAIL_BACK: [f64; 4] = [2.0, 600.0, 0.17, 2000.0];
 
-/// A process with what it has for itself: partners, discovery, and a ledger of its own messages.
-pub(super) struct Seat {
+/// A process of the fleet with its own destinations, discovery, and ledger of its messages.
+pub(super) struct Member {
     pub(super) process: Process,
     pub(super) ledger: Ledger,
-    pub(super) stage: StandIns,
+    pub(super) stand_ins: StandIns,
     config: Value,
-    /// Its identity, and what it keeps of duties as a voter, as they were at each start.
+    /// Contents of the identity file at each start.
     identities: Vec<Vec<u8>>,
+    /// Contents of the file with the duty registers at each start, where it exists.
     registers: Vec<Option<Vec<u8>>>,
 }
 
-/// All processes and the directions between them.
+/// All processes and the relays between them.
 pub(super) struct Fleet {
-    pub(super) seats: Vec<Seat>,
-    /// Where each listens for the others,
-    listens: Vec<SocketAddr>,
-    /// and where another under its name does, in scenes that have one.
-    twins: Vec<Option<SocketAddr>>,
-    roster: Names,
-    /// By sender and receiver; none from one to itself.
+    pub(super) members: Vec<Member>,
+    /// Address at which each process listen_addrs for the others.
+    listen_addrs: Vec<SocketAddr>,
+    /// Address at which a duplicate of each process listen_addrs, in scenes that have one.
+    duplicate_addrs: Vec<Option<SocketAddr>>,
+    roster: Roster,
+    /// Relays by sender and receiver; none from a process to itself.
     pub(super) relays: Vec<Vec<Option<Relay>>>,
-    /// The same, as the ways back of others.
-    backs: Vec<Vec<Option<Back>>>,
+    /// The same relays, as the reverse directions of others.
+    reverse_relays: Vec<Vec<Option<ReverseRelay>>>,
     network: JoinSet<()>,
 }
 
-/// Who stands in the documents.
+/// Contents of the fleet documents.
 #[derive(Clone)]
-struct Names {
+struct Roster {
     version: u64,
-    now: Vec<usize>,
-    before: Vec<usize>,
+    /// Numbers of the present members.
+    members: Vec<usize>,
+    /// Numbers of the previous members, during a joint step; otherwise empty.
+    previous: Vec<usize>,
     limit: Option<(f64, Sharing)>,
     duties: usize,
 }
 
-/// The terms of the six rules for what one process does.
-pub(super) fn terms(lateness_ms: f64) -> RuleParams {
-    let usual = RuleParams::default();
-    let classes = [(CLASSES[0].name, Effect::Keyed(KEY_LIFE)), (CLASSES[1].name, Effect::Unsafe)];
+/// Returns the parameters of the six rules for the messages of one process.
+pub(super) fn rule_params(lateness_ms: f64) -> RuleParams {
+    let defaults = RuleParams::default();
+    let classes = [(CLASSES[0].name, Effect::Keyed(KEY_TTL_MS)), (CLASSES[1].name, Effect::Unsafe)];
     let [fall_multiple, fall_for, start_capacity, warm_after] = FAIL_BACK;
     RuleParams {
         classes: classes.into_iter().map(|(name, effect)| (name.to_owned(), effect)).collect(),
         // An answer passes a process and a stand-in, and each may have been as late as the rig's own clocks were.
-        clock_slack_ms: usual.clock_slack_ms + 2.0 * lateness_ms,
+        clock_slack_ms: defaults.clock_slack_ms + 2.0 * lateness_ms,
         overload_multiple: fall_multiple,
         overload_for_ms: fall_for,
         start_capacity,
         warm_up_ms: warm_after,
-        ..usual
+        ..defaults
     }
 }
 
-/// The class of a message by chance.
-pub(super) fn class(rng: &mut Rng) -> (&'static str, u64) {
+/// Draws the class of a message, by name, with its deadline (ms).
+pub(super) fn draw_class(rng: &mut Rng) -> (&'static str, u64) {
     let class = &CLASSES[rng.random_range(0..CLASSES.len())];
     (class.name, class.deadline_ms)
 }
 
 impl Fleet {
-    /// Starts the processes of a scene in a folder, all at once, and waits until they are ready.
+    /// Starts all processes of a scene concurrently in `folder`, and waits until they are ready.
     pub(super) async fn start(scene: &FleetScene, programs: &[&Path], folder: &Path) -> io::Result<Self> {
         let size = scene.size;
-        let listens: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect::<Result<_, _>>()?;
-        let twofold =
-            |n| scene.acts.iter().any(|(_, act)| matches!(act, FleetAct::Twin(one, _) if *one == n));
-        let twin = |n| twofold(n).then(free_address).transpose();
-        let twins: Vec<Option<SocketAddr>> = (0..size).map(twin).collect::<Result<_, _>>()?;
-        let (now, before) = ((0..size).collect(), Vec::new());
-        let roster = Names { version: 1, now, before, limit: scene.limit, duties: scene.duties };
+        let listen_addrs: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect::<Result<_, _>>()?;
+        let has_duplicate =
+            |n| scene.acts.iter().any(|(_, act)| matches!(act, FleetAct::Twin(process, _) if *process == n));
+        let duplicate_addr = |n| has_duplicate(n).then(free_address).transpose();
+        let duplicate_addrs: Vec<Option<SocketAddr>> =
+            (0..size).map(duplicate_addr).collect::<Result<_, _>>()?;
+        let (members, previous) = ((0..size).collect(), Vec::new());
+        let roster = Roster { version: 1, members, previous, limit: scene.limit, duties: scene.duties };
         let mut relays: Vec<Vec<Option<Relay>>> = Vec::new();
         let mut listeners = Vec::new();
         for from in 0..size {
@@ -116,108 +121,122 @@
             relays.push(row);
         }
         let mut network = JoinSet::new();
-        let back = |relay: &Option<Relay>| relay.clone().map(|relay| Arc::new(Mutex::new(relay)));
-        let backs: Vec<Vec<Option<Back>>> = relays.iter().map(|row| row.iter().map(back).collect()).collect();
+        let shared = |relay: &Option<Relay>| relay.clone().map(|relay| Arc::new(Mutex::new(relay)));
+        let reverse_relays: Vec<Vec<Option<ReverseRelay>>> =
+            relays.iter().map(|row| row.iter().map(shared).collect()).collect();
         for (from, to, tcp) in listeners {
-            if let (Some(there), Some(back)) = (relays[from][to].clone(), backs[to][from].clone()) {
-                let to = [listens[to]].into_iter().chain(twins[to]).collect();
-                network.spawn(there.run(tcp, to, back));
+            if let (Some(relay), Some(reverse)) = (relays[from][to].clone(), reverse_relays[to][from].clone())
+            {
+                let to = [listen_addrs[to]].into_iter().chain(duplicate_addrs[to]).collect();
+                network.spawn(relay.run(tcp, to, reverse));
             }
         }
         let mut starts = JoinSet::new();
         for n in 0..size {
             let folder = folder.join(n.to_string());
             fs::create_dir_all(&folder)?;
-            fs::write(folder.join("fleet.kdl"), document(scene.period_ms, &roster, listens[n], &relays[n]))?;
+            fs::write(
+                folder.join("fleet.kdl"),
+                document(scene.period_ms, &roster, listen_addrs[n], &relays[n]),
+            )?;
             let program = programs.get(n % programs.len().max(1)).ok_or(io::ErrorKind::InvalidInput)?;
             let (program, seed) = (program.to_path_buf(), scene.seed << 8 | n as u64);
-            let (many, descriptors) = (size, scene.max_descriptors);
+            let max_descriptors = scene.max_descriptors;
             starts.spawn(async move {
-                (n, Seat::start(n, many, &program, &folder, seed, descriptors, true).await)
+                (n, Member::start(n, size, &program, &folder, seed, max_descriptors, true).await)
             });
         }
-        let mut seats: Vec<Option<Seat>> = (0..size).map(|_| None).collect();
+        let mut members: Vec<Option<Member>> = (0..size).map(|_| None).collect();
         while let Some(started) = starts.join_next().await {
-            let (n, seat) = started.map_err(io::Error::other)?;
-            seats[n] = Some(seat?);
+            let (n, member) = started.map_err(io::Error::other)?;
+            members[n] = Some(member?);
         }
-        let seats = seats.into_iter().flatten().collect();
-        Ok(Fleet { seats, listens, twins, roster, relays, backs, network })
+        let members = members.into_iter().flatten().collect();
+        Ok(Fleet { members, listen_addrs, duplicate_addrs, roster, relays, reverse_relays, network })
     }
 
-    /// Where the boot numbers of each name stand: by process in order, and then of those that will live under the same name.
+    /// Returns the identity files with the numbers of their processes: first those of all processes in order, then those
+    /// of the duplicates.
     pub(super) fn identities(&self) -> Vec<(usize, PathBuf)> {
-        let own = self.seats.iter().map(Seat::identity).enumerate();
-        let twins = (0..self.seats.len()).filter(|n| self.twins[*n].is_some());
-        own.chain(twins.map(|n| (n, self.twin_folder(n).join("state/identity")))).collect()
+        let own = self.members.iter().map(Member::identity_path).enumerate();
+        let duplicates = (0..self.members.len()).filter(|n| self.duplicate_addrs[*n].is_some());
+        own.chain(duplicates.map(|n| (n, self.duplicate_folder(n).join("state/identity")))).collect()
     }
 
-    fn twin_folder(&self, n: usize) -> PathBuf {
-        self.seats[n].process.folder().with_extension("twin")
+    fn duplicate_folder(&self, n: usize) -> PathBuf {
+        self.members[n].process.folder().with_extension("twin")
     }
 
-    /// Starts another process under the name of one, beside it: the others find both at one place.
-    pub(super) async fn twin(&self, scene: &FleetScene, n: usize, program: &Path) -> io::Result<Seat> {
-        let listen = self.twins[n].ok_or(io::ErrorKind::NotFound)?;
-        let folder = self.twin_folder(n);
+    /// Starts a duplicate: a second process under the name of process `n`. The other members reach both at one address.
+    pub(super) async fn start_duplicate(
+        &self,
+        scene: &FleetScene,
+        n: usize,
+        program: &Path,
+    ) -> io::Result<Member> {
+        let listen = self.duplicate_addrs[n].ok_or(io::ErrorKind::NotFound)?;
+        let folder = self.duplicate_folder(n);
         fs::create_dir_all(&folder)?;
         fs::write(
             folder.join("fleet.kdl"),
             document(scene.period_ms, &self.roster, listen, &self.relays[n]),
         )?;
         let seed = scene.seed << 8 | 0x80 | n as u64;
-        // One of the two is to be silent, and so never ready: it may be this one.
-        Seat::start(n, scene.size, program, &folder, seed, None, false).await
+        // One of the two must stay silent and never becomes ready, which may be this one: so this does not wait.
+        Member::start(n, scene.size, program, &folder, seed, None, false).await
     }
 
-    /// Another roster in the documents of all, the dead too: these beside those before, or the last ones alone.
-    pub(super) fn rename(&mut self, scene: &FleetScene, next: Option<&[usize]>) -> io::Result<()> {
-        let Names { version, now, limit, duties, .. } = self.roster.clone();
+    /// Writes the next roster version to all documents, also those of stopped processes: a joint step to the members
+    /// `next`, or, with `None`, the present members alone.
+    pub(super) fn advance_roster(&mut self, scene: &FleetScene, next: Option<&[usize]>) -> io::Result<()> {
+        let Roster { version, members, limit, duties, .. } = self.roster.clone();
         let version = version + 1;
         self.roster = match next {
-            Some(next) => Names { version, now: next.to_vec(), before: now, limit, duties },
-            None => Names { version, now, before: Vec::new(), limit, duties },
+            Some(next) => Roster { version, members: next.to_vec(), previous: members, limit, duties },
+            None => Roster { version, members, previous: Vec::new(), limit, duties },
         };
         self.write_documents(scene)
     }
 
-    /// One that is down gets another address, and so another place in the documents of all.
-    pub(super) async fn move_away(&mut self, scene: &FleetScene, n: usize) -> io::Result<()> {
-        self.listens[n] = free_address()?;
+    /// Gives a stopped process another address, and writes it to all documents.
+    pub(super) async fn change_address(&mut self, scene: &FleetScene, n: usize) -> io::Result<()> {
+        self.listen_addrs[n] = free_address()?;
         for other in (0..self.relays.len()).filter(|other| *other != n) {
             let SocketAddr::V4(at) = free_address()? else { return Err(io::ErrorKind::Other.into()) };
             let seed = scene.seed << 24 | (other << 8 | n) as u64;
             let (relay, tcp) = Relay::bind(at.ip().octets(), seed).await?;
-            if let (Some(back), Some(own)) = (&self.backs[n][other], &self.backs[other][n]) {
-                self.network.spawn(relay.clone().run(tcp, vec![self.listens[n]], back.clone()));
-                // What it says comes from there too.
-                *own.lock().unwrap_or_else(PoisonError::into_inner) = relay.clone();
+            if let (Some(reverse), Some(current)) =
+                (&self.reverse_relays[n][other], &self.reverse_relays[other][n])
+            {
+                self.network.spawn(relay.clone().run(tcp, vec![self.listen_addrs[n]], reverse.clone()));
+                // Packets from the moved process are sent from the new address too.
+                *current.lock().unwrap_or_else(PoisonError::into_inner) = relay.clone();
             }
             self.relays[other][n] = Some(relay);
         }
         self.write_documents(scene)
     }
 
-    /// The version of the documents.
+    /// Returns the roster version of the documents.
     pub(super) fn version(&self) -> u64 {
         self.roster.version
     }
 
-    /// Another limit in the documents of all.
+    /// Writes another limit to all documents.
     pub(super) fn set_limit(&mut self, scene: &FleetScene, calls: f64) -> io::Result<()> {
-        self.roster.limit = self.roster.limit.map(|(_, way)| (calls, way));
+        self.roster.limit = self.roster.limit.map(|(_, sharing)| (calls, sharing));
         self.write_documents(scene)
     }
 
     fn write_documents(&self, scene: &FleetScene) -> io::Result<()> {
-        for (n, seat) in self.seats.iter().enumerate() {
-            let text = document(scene.period_ms, &self.roster, self.listens[n], &self.relays[n]);
-            fs::write(seat.process.folder().join("fleet.kdl"), text)?;
+        for (n, member) in self.members.iter().enumerate() {
+            let text = document(scene.period_ms, &self.roster, self.listen_addrs[n], &self.relays[n]);
+            fs::write(member.process.folder().join("fleet.kdl"), text)?;
         }
         Ok(())
     }
 
-    /// All directions.
+    /// Returns all relays with their senders and receivers.
     pub(super) fn links(&self) -> impl Iterator<Item = (usize, usize, &Relay)> {
         self.relays.iter().enumerate().flat_map(|(from, row)| {
             row.iter().enumerate().filter_map(move |(to, relay)| Some((from, to, relay.as_ref()?)))
@@ -225,40 +244,42 @@
     }
 }
 
-/// The fleet's document of one process: the others stand at the relays towards them.
-fn document(period: u64, names: &Names, listen: SocketAddr, relays: &[Option<Relay>]) -> String {
+/// Returns the fleet document of one process, which names the relays as the addresses of the other members.
+fn document(period: u64, roster: &Roster, listen: SocketAddr, relays: &[Option<Relay>]) -> String {
     let members = |indent: &str, of: &[usize]| -> String {
-        let at = |n: usize| relays[n].as_ref().map_or(listen, |relay| relay.at);
+        let at = |n: usize| relays[n].as_ref().map_or(listen, |relay| relay.addr);
         let line =
             |n: &usize| format!("{indent}member \"n{n}\" address=\"{}\" zone=\"z{}\"\n", at(*n), n % 3);
         of.iter().map(line).collect()
     };
-    // Where each goes by its own, that is so of outages too. Builds that know nothing of them are not told.
-    let apart = names.limit.is_some_and(|(_, way)| way != Sharing::Rights);
+    // Without shared rights each process also handles outages on its own. In other scenes the property is left out, as
+    // older builds do not know it.
+    let apart = roster.limit.is_some_and(|(_, sharing)| sharing != Sharing::Rights);
     let returns = if apart { " returns=#false" } else { "" };
-    let mut text = format!("fleet version={} period-ms={period} loopback=#true{returns} {{\n", names.version);
-    text += &members("    ", &names.now);
-    if !names.before.is_empty() {
-        text += &format!("    before {{\n{}    }}\n", members("        ", &names.before));
+    let mut text =
+        format!("fleet version={} period-ms={period} loopback=#true{returns} {{\n", roster.version);
+    text += &members("    ", &roster.members);
+    if !roster.previous.is_empty() {
+        text += &format!("    before {{\n{}    }}\n", members("        ", &roster.previous));
     }
-    if let Some((calls, way)) = names.limit.filter(|(_, way)| *way != Sharing::Alone) {
+    if let Some((calls, sharing)) = roster.limit.filter(|(_, sharing)| *sharing != Sharing::Alone) {
         for dest in [FIRST_DEST, FIRST_DEST + 1] {
-            text += &format!("    limit {dest} calls={calls:.3} lend=#{}\n", way != Sharing::Even);
+            text += &format!("    limit {dest} calls={calls:.3} lend=#{}\n", sharing != Sharing::Even);
         }
     }
-    (0..names.duties).for_each(|n| text += &format!("    duty \"work-{n}\"\n"));
+    (0..roster.duties).for_each(|n| text += &format!("    duty \"work-{n}\"\n"));
     text + "}\n"
 }
 
-impl Seat {
+impl Member {
     async fn start(
         n: usize,
         size: usize,
         program: &Path,
         folder: &Path,
         seed: u64,
-        descriptors: Option<u64>,
-        waits: bool,
+        max_descriptors: Option<u64>,
+        wait_ready: bool,
     ) -> io::Result<Self> {
         let ledger = Ledger::default();
         let mut rng = Rng::seed_from_u64(seed);
@@ -271,73 +292,77 @@
             calls_per_sec: 60.0,
             faults: faults.clone(),
         };
-        let stage = start_stand_ins(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
-        let figures = ConfigParams {
+        let stand_ins = start_stand_ins(&[dest(FIRST_DEST), dest(FIRST_DEST + 1)], &mut rng, &ledger).await?;
+        let params = ConfigParams {
             classes: CLASSES.to_vec(),
-            key_ttl_ms: KEY_LIFE,
+            key_ttl_ms: KEY_TTL_MS,
             goal_time_ms: 400.0,
             slots: 32,
             fail_back: FAIL_BACK,
             seed: rng.random(),
             resources: Resources::default(),
         };
-        let mut config = configuration(&figures, free_address()?, stage.discovery.addr, &stage.lines);
+        let mut config = configuration(&params, free_address()?, stand_ins.discovery.addr, &stand_ins.lines);
         config["name"] = format!("n{n}").into();
         config["fleet"] = "fleet.kdl".into();
         config["settings"]["peersTotal"] = json!(size);
         let (program, folder) = (program.into(), folder.into());
-        let setup =
-            Setup { program, folder, env: Vec::new(), max_file_bytes: None, max_descriptors: descriptors };
-        let process = match waits {
+        let setup = Setup { program, folder, env: Vec::new(), max_file_bytes: None, max_descriptors };
+        let process = match wait_ready {
             true => Process::start(setup, &config, &ledger).await?,
             false => Process::spawn(setup, &config, &ledger)?,
         };
-        let mut seat = Seat { process, ledger, stage, config, identities: Vec::new(), registers: Vec::new() };
-        seat.remember();
-        Ok(seat)
+        let mut member =
+            Member { process, ledger, stand_ins, config, identities: Vec::new(), registers: Vec::new() };
+        member.record_state_files();
+        Ok(member)
     }
 
-    /// The file with its boot number.
-    pub(super) fn identity(&self) -> PathBuf {
+    /// Returns the path of the file with the boot number.
+    pub(super) fn identity_path(&self) -> PathBuf {
         self.process.folder().join("state/identity")
     }
 
-    /// Its control socket.
-    pub(super) fn control(&self) -> PathBuf {
+    /// Returns the path of the control socket.
+    pub(super) fn control_path(&self) -> PathBuf {
         self.process.folder().join("state/control")
     }
 
-    fn remember(&mut self) {
-        if let Ok(identity) = fs::read(self.identity()) {
+    /// Records the state files as they are now, for later starts with an old folder.
+    fn record_state_files(&mut self) {
+        if let Ok(identity) = fs::read(self.identity_path()) {
             self.identities.push(identity);
-            self.registers.push(fs::read(self.registers()).ok());
+            self.registers.push(fs::read(self.registers_path()).ok());
         }
     }
 
-    /// The file with what it keeps of duties.
-    fn registers(&self) -> PathBuf {
+    /// Returns the path of the file with the duty registers that the process keeps as a voter.
+    fn registers_path(&self) -> PathBuf {
         self.process.folder().join("state/duties")
     }
 
-    /// The folder takes no other boot number, or does again: where the new file would be made stands a folder.
-    pub(super) fn fill_disk(&self, full: bool) -> io::Result<()> {
-        for beside in [self.identity().with_extension("new"), self.registers().with_extension("duties-new")] {
+    /// Makes writes of the identity and register files fail, or succeed again: a folder in place of the temporary file
+    /// makes its creation fail.
+    pub(super) fn set_disk_full(&self, full: bool) -> io::Result<()> {
+        for obstacle in
+            [self.identity_path().with_extension("new"), self.registers_path().with_extension("duties-new")]
+        {
             match full {
-                true => fs::create_dir_all(beside)?,
-                false => fs::remove_dir_all(beside)?,
+                true => fs::create_dir_all(obstacle)?,
+                false => fs::remove_dir_all(obstacle)?,
             }
         }
         Ok(())
     }
 
-    /// Starts it again. Its journal is kept whatever comes of its identity: what is lost with a journal is another
-    /// matter than who it is.
-    pub(super) fn start_again(&mut self, with: StateFolder) -> io::Result<()> {
-        self.remember();
+    /// Restarts the process with the given state of its folder. The journal is kept in every case: these scenes test
+    /// lost identities, not lost messages.
+    pub(super) fn restart(&mut self, with: StateFolder) -> io::Result<()> {
+        self.record_state_files();
         match with {
             StateFolder::Kept => {}
             StateFolder::Emptied => {
-                for file in [self.identity(), self.registers()] {
+                for file in [self.identity_path(), self.registers_path()] {
                     fs::remove_file(file).or_else(|e| match e.kind() {
                         io::ErrorKind::NotFound => Ok(()),
                         _ => Err(e),
@@ -347,15 +372,15 @@
             StateFolder::Old => {
                 let n = self.identities.len().saturating_sub(2);
                 if let (Some(old), Some(registers)) = (self.identities.get(n), self.registers.get(n)) {
-                    fs::write(self.identity(), old)?;
+                    fs::write(self.identity_path(), old)?;
                     match registers {
-                        Some(registers) => fs::write(self.registers(), registers)?,
-                        None => drop(fs::remove_file(self.registers())),
+                        Some(registers) => fs::write(self.registers_path(), registers)?,
+                        None => drop(fs::remove_file(self.registers_path())),
                     }
                 }
             }
         }
-        let (rev, lines) = (self.stage.discovery.rev(), self.stage.discovery.lines());
+        let (rev, lines) = (self.stand_ins.discovery.rev(), self.stand_ins.discovery.lines());
         self.config["known"] = json!({"rev": rev, "all": true, "targets": lines});
         self.process.respawn(&self.config)?;
         let (addr, ledger) = (self.process.addr, self.ledger.clone());
@@ -370,8 +395,8 @@
         Ok(())
     }
 
-    /// Endpoints that its messages go to; kept alive with it.
+    /// Returns the endpoints of its destinations.
     pub(super) fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.stage.endpoints.iter().flatten().flatten()
+        self.stand_ins.endpoints.iter().flatten().flatten()
     }
 }
--- a/crates/rig/src/fleet/relay.rs
+++ b/crates/rig/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! The network between two processes: one direction of it is a socket that takes what the one sends, and passes it on
-//! to the other from the address that the other knows the first by.
+//! The network between two processes. A relay is one direction of it: a socket that receives what one process sends,
+//! and forwards it to the other from the address under which that one knows the sender.
 
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -14,30 +14,30 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use yarrowhill_standins::Rng;
 
-/// Packets on their way at once; further ones are lost, as in a router's queue.
-const QUEUE: usize = 512;
-/// Connections at once in one direction.
-const STREAMS: usize = 64;
+/// Maximum number of packets in transit; further packets are lost, as in a router's queue.
+const MAX_QUEUED_PACKETS: usize = 512;
+/// Maximum number of concurrent connections in one direction.
+const MAX_CONNECTIONS: usize = 64;
 
-/// What a direction does to what it carries.
+/// Network conditions of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinkQuality {
-    /// The share of packets that are lost.
+    /// Share of packets that are lost.
     pub loss: f64,
-    /// The share that comes twice.
+    /// Share of packets that are duplicated.
     #[serde(rename = "twice")]
     pub duplicate: f64,
-    /// The least time on the way (ms),
+    /// Minimum latency (ms).
     #[serde(rename = "delay")]
     pub delay_ms: f64,
-    /// and what chance adds in the mean (ms), so that packets overtake each other.
+    /// Mean of the random latency that is added (ms, exponentially distributed), so that packets are reordered.
     #[serde(rename = "jitter")]
     pub jitter_ms: f64,
-    /// Nothing comes through: packets are lost, connections stand still.
+    /// Whether the direction is cut: packets are lost and connections stall.
     pub cut: bool,
-    /// Connections are accepted, and nothing more is heard on them.
+    /// Whether connections are accepted but carry no data.
     pub half_open: bool,
-    /// Bytes a second; none: as many as come.
+    /// Bandwidth in bytes per second; `None` is unlimited.
     #[serde(rename = "bytes")]
     pub bytes_per_sec: Option<u64>,
 }
@@ -56,48 +56,48 @@
     }
 }
 
-/// What a direction has done.
+/// Traffic counters of one direction.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
     pub(super) carried: AtomicU64,
     pub(super) lost: AtomicU64,
-    pub(super) twice: AtomicU64,
-    pub(super) streams: AtomicU64,
+    pub(super) duplicated: AtomicU64,
+    pub(super) connections: AtomicU64,
 }
 
 struct State {
-    weather: LinkQuality,
+    quality: LinkQuality,
     rng: Rng,
-    /// The line is busy until then.
-    free: Instant,
+    /// Time until which the bandwidth is used up.
+    free_at: Instant,
 }
 
-/// The direction that answers go by; another one where the receiver of those has moved.
-pub(super) type Back = Arc<Mutex<Relay>>;
+/// The relay of the opposite direction; replaced when the process at its end moves to another address.
+pub(super) type ReverseRelay = Arc<Mutex<Relay>>;
 
-/// One direction.
+/// One direction between two processes.
 #[derive(Clone)]
 pub(super) struct Relay {
-    /// Where the sender finds the receiver.
-    pub(super) at: SocketAddr,
+    /// Address at which the sender reaches the receiver.
+    pub(super) addr: SocketAddr,
     socket: Arc<UdpSocket>,
     state: Arc<Mutex<State>>,
     pub(super) counts: Arc<Counts>,
 }
 
 impl Relay {
-    /// A socket of its own for UDP and a listener on the same port.
+    /// Binds a UDP socket, and a TCP listener on the same port.
     pub(super) async fn bind(ip: [u8; 4], seed: u64) -> io::Result<(Self, TcpListener)> {
         let mut last = io::Error::from(io::ErrorKind::AddrInUse);
         for _ in 0..20 {
             let udp = UdpSocket::bind(SocketAddr::from((ip, 0))).await?;
-            let at = udp.local_addr()?;
-            match TcpListener::bind(at).await {
+            let addr = udp.local_addr()?;
+            match TcpListener::bind(addr).await {
                 Ok(tcp) => {
-                    let (rng, free) = (Rng::seed_from_u64(seed), Instant::now());
-                    let state = Arc::new(Mutex::new(State { weather: LinkQuality::default(), rng, free }));
+                    let (rng, free_at) = (Rng::seed_from_u64(seed), Instant::now());
+                    let state = Arc::new(Mutex::new(State { quality: LinkQuality::default(), rng, free_at }));
                     let relay =
-                        Relay { at, socket: Arc::new(udp), state, counts: Arc::new(Counts::default()) };
+                        Relay { addr, socket: Arc::new(udp), state, counts: Arc::new(Counts::default()) };
                     return Ok((relay, tcp));
                 }
                 Err(e) => last = e,
@@ -106,71 +106,72 @@
         Err(last)
     }
 
-    pub(super) fn weather(&self) -> LinkQuality {
-        self.lock().weather
+    pub(super) fn quality(&self) -> LinkQuality {
+        self.lock().quality
     }
 
-    pub(super) fn set(&self, weather: LinkQuality) {
-        self.lock().weather = weather;
+    pub(super) fn set_quality(&self, quality: LinkQuality) {
+        self.lock().quality = quality;
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When copies of a packet come, if any do.
-    fn carry(&self, length: usize) -> Vec<Instant> {
+    /// Returns when the packet and its duplicate arrive; empty if the packet is lost.
+    fn arrival_times(&self, length: usize) -> Vec<Instant> {
         let mut state = self.lock();
-        let State { weather, rng, free } = &mut *state;
-        // Drawn for each packet whatever holds, so that one seed is one row of draws.
-        let (lost, twice, first, second): (f64, f64, f64, f64) =
+        let State { quality, rng, free_at } = &mut *state;
+        // Drawn for each packet under all conditions, so that a seed always gives the same sequence of draws.
+        let (loss, duplicate, first, second): (f64, f64, f64, f64) =
             (rng.random(), rng.random(), rng.random(), rng.random());
-        if weather.cut || lost < weather.loss {
+        if quality.cut || loss < quality.loss {
             self.counts.lost.fetch_add(1, Ordering::Relaxed);
             return Vec::new();
         }
         let now = Instant::now();
-        let start = match weather.bytes_per_sec {
+        let start = match quality.bytes_per_sec {
             None => now,
             Some(rate) => {
-                *free = (*free).max(now) + Duration::from_secs_f64(length as f64 / rate.max(1) as f64);
-                *free
+                *free_at = (*free_at).max(now) + Duration::from_secs_f64(length as f64 / rate.max(1) as f64);
+                *free_at
             }
         };
-        let way = |chance: f64| {
-            let ms = weather.delay_ms - weather.jitter_ms * chance.max(1e-9).ln();
+        let arrival = |draw: f64| {
+            let ms = quality.delay_ms - quality.jitter_ms * draw.max(1e-9).ln();
             start + Duration::from_secs_f64(ms / 1000.0)
         };
-        let mut comes = vec![way(first)];
-        if twice < weather.duplicate {
-            self.counts.twice.fetch_add(1, Ordering::Relaxed);
-            comes.push(way(second));
+        let mut arrivals = vec![arrival(first)];
+        if duplicate < quality.duplicate {
+            self.counts.duplicated.fetch_add(1, Ordering::Relaxed);
+            arrivals.push(arrival(second));
         }
-        comes
+        arrivals
     }
 
-    /// Carries packets and connections to the receivers, from the address of the way back, until the task ends.
-    pub(super) async fn run(self, tcp: TcpListener, to: Vec<SocketAddr>, back: Back) {
-        let mut streams = JoinSet::new();
-        let room = Arc::new(tokio::sync::Semaphore::new(QUEUE));
+    /// Forwards packets and connections to the receivers, from the address of the reverse direction, until the task is
+    /// aborted.
+    pub(super) async fn run(self, tcp: TcpListener, to: Vec<SocketAddr>, reverse: ReverseRelay) {
+        let mut connections = JoinSet::new();
+        let permits = Arc::new(tokio::sync::Semaphore::new(MAX_QUEUED_PACKETS));
         let mut buffer = vec![0u8; 4096];
         loop {
             tokio::select! {
                 got = self.socket.recv_from(&mut buffer) => {
                     let Ok((length, _)) = got else { continue };
-                    for at in self.carry(length) {
-                        let Ok(place) = room.clone().try_acquire_owned() else {
+                    for at in self.arrival_times(length) {
+                        let Ok(permit) = permits.clone().try_acquire_owned() else {
                             self.counts.lost.fetch_add(1, Ordering::Relaxed);
                             continue;
                         };
                         self.counts.carried.fetch_add(1, Ordering::Relaxed);
-                        let from = now(&back).socket;
+                        let from = current(&reverse).socket;
                         let (bytes, to) = (buffer[..length].to_vec(), to.clone());
                         tokio::spawn(async move {
-                            let _place = place;
+                            let _permit = permit;
                             sleep_until(at).await;
                             for to in to {
-                                // Nobody there: lost.
+                                // The packet is lost if no process listens there.
                                 let _ = from.send_to(&bytes, to).await;
                             }
                         });
@@ -178,10 +179,10 @@
                 }
                 got = tcp.accept() => {
                     let Ok((stream, _)) = got else { continue };
-                    while streams.try_join_next().is_some() {}
-                    if streams.len() < STREAMS {
-                        self.counts.streams.fetch_add(1, Ordering::Relaxed);
-                        streams.spawn(carry_stream(stream, to.clone(), self.clone(), now(&back)));
+                    while connections.try_join_next().is_some() {}
+                    if connections.len() < MAX_CONNECTIONS {
+                        self.counts.connections.fetch_add(1, Ordering::Relaxed);
+                        connections.spawn(forward_connection(stream, to.clone(), self.clone(), current(&reverse)));
                     }
                 }
             }
@@ -189,33 +190,32 @@
     }
 }
 
-fn now(back: &Back) -> Relay {
-    back.lock().unwrap_or_else(PoisonError::into_inner).clone()
+/// Returns the relay that is the reverse direction now.
+fn current(reverse: &ReverseRelay) -> Relay {
+    reverse.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-/// A connection: bytes of each direction under the weather of that direction.
-async fn carry_stream(stream: TcpStream, to: Vec<SocketAddr>, there: Relay, back: Relay) {
-    if there.weather().half_open {
-        // Accepted, and then silence.
+/// Forwards a connection; the bytes of each direction are subject to the link quality of that direction.
+async fn forward_connection(stream: TcpStream, to: Vec<SocketAddr>, forward: Relay, reverse: Relay) {
+    if forward.quality().half_open {
+        // Keeps the accepted connection open and sends nothing.
         sleep(Duration::from_secs(30)).await;
         return;
     }
     let Some(to) = to.first() else { return };
-    // From the host that the receiver knows the sender by.
+    // Connects from the IP address under which the receiver knows the sender.
     let connect = async {
         let socket = TcpSocket::new_v4()?;
-        socket.bind(SocketAddr::new(back.at.ip(), 0))?;
+        socket.bind(SocketAddr::new(reverse.addr.ip(), 0))?;
         socket.connect(*to).await
     };
     let Ok(out) = connect.await else { return };
     let (read, write) = stream.into_split();
     let (out_read, out_write) = out.into_split();
-    let forth = pass(read, out_write, there);
-    let back = pass(out_read, write, back);
-    tokio::join!(forth, back);
+    tokio::join!(copy_bytes(read, out_write, forward), copy_bytes(out_read, write, reverse));
 }
 
-async fn pass(
+async fn copy_bytes(
     mut from: impl tokio::io::AsyncRead + Unpin,
     mut to: impl tokio::io::AsyncWrite + Unpin,
     relay: Relay,
@@ -223,13 +223,13 @@
     let mut buffer = vec![0u8; 16 << 10];
     loop {
         let Ok(length) = from.read(&mut buffer).await else { return };
-        // A cut stops bytes, as it stops packets: both ends see silence.
-        while relay.weather().cut {
+        // A cut stalls the bytes: both ends of the connection receive nothing until it heals.
+        while relay.quality().cut {
             sleep(Duration::from_millis(20)).await;
         }
-        let weather = relay.weather();
-        let mut pause = (weather.delay_ms + weather.jitter_ms) / 1000.0;
-        if let Some(rate) = weather.bytes_per_sec {
+        let quality = relay.quality();
+        let mut pause = (quality.delay_ms + quality.jitter_ms) / 1000.0;
+        if let Some(rate) = quality.bytes_per_sec {
             pause += length as f64 / rate.max(1) as f64;
         }
         sleep(Duration::from_secs_f64(pause)).await;
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet: as a value, as a document, or by a seed.
+//! Chaos scenes for a fleet, given as a value, as a KDL document, or by a seed.
 
 use super::relay::LinkQuality;
 use kdl::{KdlDocument, KdlNode, KdlValue};
@@ -6,67 +6,68 @@
 use serde::Serialize;
 use yarrowhill_standins::Rng;
 
-/// What a process finds in its folder when it starts again.
+/// State of a process's folder at a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum StateFolder {
-    /// What it left.
+    /// As the previous process left it.
     Kept,
-    /// Nothing.
+    /// Without the identity and the duty registers.
     Emptied,
-    /// What it was at its last start but one.
+    /// With the identity and the duty registers of the last start but one.
     Old,
 }
 
-/// Something that happens. Processes are numbered from 0.
+/// An act of a scene: a fault, or another change. Processes are numbered from 0. The variants have the names of the
+/// KDL nodes; durations and intervals are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum FleetAct {
-    /// One direction is cut.
+    /// Cuts the direction from the first process to the second.
     Cut(usize, usize),
-    /// Both directions between two.
+    /// Cuts both directions between two processes.
     Part(usize, usize),
-    /// Nothing passes between processes of different numbers.
+    /// Partitions the network: processes with different group numbers cannot reach each other.
     Islands(Vec<usize>),
-    /// All directions carry like this; what is cut stays cut.
+    /// Sets the quality of all links; links that are cut stay cut.
     Weather(LinkQuality),
-    /// One direction carries like this.
+    /// Sets the quality of the direction from the first process to the second.
     Link(usize, usize, LinkQuality),
-    /// Everything as at the beginning.
+    /// Mends all links and resets their quality.
     Heal,
-    /// SIGSTOP, and SIGCONT after so long (ms).
+    /// Pauses a process by SIGSTOP and resumes it by SIGCONT after this duration.
     Stall(usize, f64),
-    /// SIGKILL.
+    /// Ends a process by SIGKILL.
     Kill(usize),
-    /// SIGTERM.
+    /// Ends a process by SIGTERM.
     Terminate(usize),
-    /// A new start.
+    /// Restarts a process that has ended.
     Start(usize, StateFolder),
-    /// All directions to and from one are cut and mended again and again: every so long, for so long (ms).
+    /// Cuts and mends all links of a process in turn, at this interval and for this duration.
     Flap(usize, f64, f64),
-    /// So many packets of rubbish to one, from an address that is nobody's.
+    /// Sends this number of invalid packets to a process, from an address that is not in the roster.
     Flood(usize, usize),
-    /// So many connections to the front of one, held for so long (ms).
+    /// Opens this number of client connections to a process and holds them idle for this duration.
     Crowd(usize, usize, f64),
-    /// The folder of one takes no other boot number, or does again.
+    /// Makes a process fail to store boot numbers and duty registers (`true`), or lets it store them again.
     Disk(usize, bool),
-    /// Another process under the name of one, with a folder of its own, for so long (ms).
+    /// Runs a duplicate under the name of a process, with its own folder, for this duration.
     Twin(usize, f64),
-    /// All documents name these members from now on, beside those that they named before, and all read them again.
+    /// Starts a joint roster step: all documents name these members beside the previous ones, and all processes reload.
     Joint(Vec<usize>),
-    /// All documents name the last members alone, and all read them again.
+    /// Completes the joint step: all documents name the new members alone, and all processes reload.
     Settle,
-    /// One that is down gets another address; all documents tell it, and all read them again.
+    /// Gives a stopped process another address in all documents, and all processes reload.
     Move(usize),
-    /// All documents tell this limit from now on (calls a second to each destination), and all read them again.
+    /// Sets the limit in all documents (calls per second to each destination), and all processes reload.
     Limit(f64),
-    /// The endpoints of one for its first or second destination shut their door for so long (ms), and say so.
+    /// Closes a destination of one process, the first (0) or second (1), for this duration; refusals return a wait.
     Shut(usize, usize, f64),
-    /// What came to the busy one comes to this one from now on.
+    /// Directs the largest share of the traffic to this process.
     Busy(usize),
-    /// An operator asks this one that the duties be given up.
+    /// Sends an operator request to this process to yield all duties.
     Yield(usize),
-    /// An operator asks this one that the first duty be pinned to another.
+    /// Sends an operator request to the first process to pin the first duty to the second process.
     Pin(usize, usize),
-    /// The first or second destination of everybody answers nothing for so long (ms), and comes back cold.
+    /// The first (0) or second (1) destination of all processes answers nothing for this duration, and recovers cold.
     Down(usize, f64),
 }
 
@@ -75,60 +76,60 @@
 pub enum Sharing {
     /// By rights that they lend and borrow.
     Rights,
-    /// By rights that they lend and borrow, but each finds out by its own calls who is down, and comes back for itself.
+    /// By rights that they lend and borrow; but each process detects outages by its own calls alone, and recovers from
+    /// them independently.
     Apart,
-    /// Each has its even part.
+    /// Each process has a fixed, equal share.
     Even,
-    /// Each for itself, as the module does alone.
+    /// The documents name no limit; each process adapts on its own, as a single forwarder does.
     Alone,
 }
 
-/// A scene.
+/// A chaos scene over several processes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FleetScene {
-    /// Its name.
+    /// Name of the scene.
     pub name: String,
-    /// The seed of the network's chance.
+    /// Seed of the random draws of network and traffic.
     pub seed: u64,
-    /// Processes.
+    /// Number of processes.
     pub size: usize,
-    /// The probe period (ms).
+    /// Probe period (ms).
     #[serde(rename = "period")]
     pub period_ms: u64,
-    /// What happens when (ms after all are ready), in order.
+    /// Acts with their times (ms after all processes are ready), in order.
     pub acts: Vec<(f64, FleetAct)>,
-    /// When it ends (ms).
+    /// End of the scene (ms).
     #[serde(rename = "end")]
     pub end_ms: f64,
-    /// Messages a second to each process.
+    /// Mean number of messages per second to each process.
     pub rate: f64,
-    /// Descriptors that each process may have; none: as many as the machine lets it.
+    /// Maximum number of file descriptors of each process; `None` keeps the limit of the machine.
     #[serde(rename = "descriptors")]
     pub max_descriptors: Option<u64>,
-    /// Calls a second to each destination, for all processes together, and how they keep to it.
+    /// Limit in calls per second to each destination, for all processes together, and how they keep to it.
     pub limit: Option<(f64, Sharing)>,
-    /// Duties that the documents name.
+    /// Number of duties in the documents.
     pub duties: usize,
-    /// The part of all traffic that comes to the first process; none: an even one.
+    /// Share of all traffic that goes to the busy process, at first process 0; `None` distributes it evenly.
     #[serde(rename = "busy")]
     pub busy_share: Option<f64>,
 }
 
-/// The probe period of scenes that are not told one (ms): short, so that they are, and long beside a machine's
-/// own delays.
-const PERIOD: u64 = 150;
-/// After the last act a scene goes on for so many periods, so that everybody may agree.
-pub(super) const REST: f64 = 60.0;
-/// What was heard of another process under one's own name is kept for so many periods.
-pub(super) const FORGOTTEN: f64 = 50.0;
-/// Messages a second to each.
-const RATE: f64 = 15.0;
+/// Default probe period (ms). It is short, so that scenes are short, and long compared with scheduling delays.
+const DEFAULT_PERIOD_MS: u64 = 150;
+/// Number of periods after the last act until a scene ends, so that all processes can agree on a view.
+pub(super) const SETTLE_PERIODS: f64 = 60.0;
+/// Number of periods for which a process remembers a duplicate of its own name.
+pub(super) const DUPLICATE_EXPIRY_PERIODS: f64 = 50.0;
+/// Default number of messages per second to each process.
+const DEFAULT_RATE: f64 = 15.0;
 
 impl FleetScene {
-    /// A scene of these acts.
+    /// Creates a scene of these acts, with defaults for everything else.
     pub fn new(name: &str, size: usize, acts: Vec<(f64, FleetAct)>) -> Self {
-        let last = acts.iter().map(|(at, act)| at + act.span()).fold(0.0, f64::max);
-        let end_ms = last + REST * PERIOD as f64;
+        let last = acts.iter().map(|(at, act)| at + act.duration_ms()).fold(0.0, f64::max);
+        let end_ms = last + SETTLE_PERIODS * DEFAULT_PERIOD_MS as f64;
         let name = name.to_owned();
         let (max_descriptors, limit, busy_share) = (None, None, None);
         let duties = 0;
@@ -136,10 +137,10 @@
             name,
             seed: 1,
             size,
-            period_ms: PERIOD,
+            period_ms: DEFAULT_PERIOD_MS,
             acts,
             end_ms,
-            rate: RATE,
+            rate: DEFAULT_RATE,
             max_descriptors,
             limit,
             duties,
@@ -147,41 +148,41 @@
         }
     }
 
-    /// Messages a second to a process, where most come to `busy`.
+    /// Returns the number of messages per second to `process` while `busy` is the busy process.
     pub(super) fn rate_of(&self, process: usize, busy: usize) -> f64 {
         let (all, others) = (self.rate * self.size as f64, (self.size as f64 - 1.0).max(1.0));
         match self.busy_share {
-            Some(part) if process == busy => all * part,
-            Some(part) => all * (1.0 - part) / others,
+            Some(share) if process == busy => all * share,
+            Some(share) => all * (1.0 - share) / others,
             None => self.rate,
         }
     }
 
-    /// The scene of a seed under a limit that all share: what is asked for is more than it, and a third of that comes to
-    /// one process.
+    /// Draws the scene of a seed with a limit that all processes share. The demand exceeds the limit, and a third of it
+    /// goes to one process.
     pub fn draw_with_limit(seed: u64) -> Self {
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0x11a1f);
         let calls = rng.random_range(20.0..60.0);
         (scene.limit, scene.busy_share) = (Some((calls, Sharing::Rights)), Some(0.34));
-        // Two destinations: each is asked for half of it.
+        // Each of the two destinations gets half of the traffic.
         scene.rate = 2.6 * calls / scene.size as f64;
-        let at =
-            scene.acts.first().map_or(1000.0, |(at, _)| *at) + rng.random_range(5.0..60.0) * PERIOD as f64;
+        let at = scene.acts.first().map_or(1000.0, |(at, _)| *at)
+            + rng.random_range(5.0..60.0) * DEFAULT_PERIOD_MS as f64;
         let after = scene.acts.iter().position(|(other, _)| *other > at).unwrap_or(scene.acts.len());
         scene.acts.insert(after, (at, FleetAct::Limit(calls * [0.1, 0.5, 2.0][rng.random_range(0..3)])));
-        scene.end_ms = scene.end_ms.max(at + REST * PERIOD as f64);
+        scene.end_ms = scene.end_ms.max(at + SETTLE_PERIODS * DEFAULT_PERIOD_MS as f64);
         scene.name = format!("limited seed {seed}");
         scene
     }
 
-    /// The scene of a seed with duties, some of which operators want elsewhere.
+    /// Draws the scene of a seed with duties, with operator requests that move some of them.
     pub fn draw_with_duties(seed: u64) -> Self {
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0xd071e5);
         for (_, act) in &mut scene.acts {
             let one = rng.random_range(0..scene.size);
-            // In place of a flood or a crowd, which say nothing of duties.
+            // Replaces floods and idle connections, which do not concern duties.
             if matches!(act, FleetAct::Flood(..) | FleetAct::Crowd(..)) {
                 let other = rng.random_range(0..scene.size);
                 *act = if rng.random_bool(0.5) { FleetAct::Yield(one) } else { FleetAct::Pin(one, other) };
@@ -193,11 +194,11 @@
         scene
     }
 
-    /// The scene of a seed.
+    /// Draws the scene of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Rng::seed_from_u64(seed ^ 0xf1ee7);
         let size = [3, 3, 5, 5, 9][rng.random_range(0..5)];
-        let period = PERIOD as f64;
+        let period = DEFAULT_PERIOD_MS as f64;
         let mut acts = Vec::new();
         let mut dead = std::collections::BTreeSet::new();
         let mut at = rng.random_range(5.0..15.0) * period;
@@ -236,14 +237,14 @@
             acts.push((at, act));
             at += if rng.random_bool(0.3) { 1.0 } else { rng.random_range(1.0..15.0) * period };
         }
-        // All is mended, and everybody lives.
+        // At the end all links are mended and all processes run.
         at += 45.0 * period;
         acts.push((at, FleetAct::Heal));
         acts.extend(dead.into_iter().map(|n| (at, FleetAct::Start(n, StateFolder::Kept))));
         FleetScene { seed, ..FleetScene::new(&format!("seed {seed}"), size, acts) }
     }
 
-    /// Reads a scene from a document.
+    /// Parses a scene from a KDL document.
     ///
     /// ```
     /// let text = r#"
@@ -257,21 +258,22 @@
     ///
     /// # Errors
     ///
-    /// It is not of that form.
+    /// The document is not valid KDL, or not a valid scene.
     pub fn parse(text: &str) -> Result<Self, SceneError> {
         let document: KdlDocument = text.parse().map_err(|e: kdl::KdlError| SceneError(e.to_string()))?;
-        let node = document.get("scene").ok_or_else(|| SceneError("there is no scene".into()))?;
+        let node = document.get("scene").ok_or_else(|| SceneError("missing node `scene`".into()))?;
         let name = node.get(0).and_then(KdlValue::as_string).unwrap_or("scene");
         let size = number(node, "size")? as usize;
         if !(1..=50).contains(&size) {
-            return Err(SceneError(format!("{size} processes: 1 to 50 can be")));
+            return Err(SceneError(format!("size={size}: must be 1 to 50 processes")));
         }
         let mut acts = Vec::new();
         for at in node.children().map(KdlDocument::nodes).unwrap_or_default() {
             let when = at.get(0).and_then(value).filter(|_| at.name().value() == "at");
-            let when = when.ok_or_else(|| SceneError(format!("{}: `at MS {{ ... }}`", at.name().value())))?;
+            let when =
+                when.ok_or_else(|| SceneError(format!("{}: expected `at MS {{ ... }}`", at.name().value())))?;
             for act in at.children().map(KdlDocument::nodes).unwrap_or_default() {
-                acts.push((when, read_act(act, size)?));
+                acts.push((when, parse_act(act, size)?));
             }
         }
         let mut scene = FleetScene::new(name, size, acts);
@@ -282,14 +284,14 @@
             scene.max_descriptors = Some(number(node, "descriptors")? as u64);
         }
         if node.get("limit").is_some() {
-            let way = match node.get("share").and_then(KdlValue::as_string) {
+            let sharing = match node.get("share").and_then(KdlValue::as_string) {
                 None | Some("rights") => Sharing::Rights,
                 Some("apart") => Sharing::Apart,
                 Some("even") => Sharing::Even,
                 Some("alone") => Sharing::Alone,
-                Some(_) => return Err(SceneError("share is rights, apart, even or alone".into())),
+                Some(_) => return Err(SceneError("share must be rights, apart, even or alone".into())),
             };
-            scene.limit = Some((number(node, "limit")?, way));
+            scene.limit = Some((number(node, "limit")?, sharing));
         }
         if node.get("duties").is_some() {
             scene.duties = (number(node, "duties")? as usize).min(16);
@@ -302,26 +304,29 @@
         }
         if node.get("period-ms").is_some() {
             scene.period_ms = (number(node, "period-ms")? as u64).clamp(20, 10_000);
-            scene.end_ms += REST * (scene.period_ms as f64 - PERIOD as f64);
+            scene.end_ms += SETTLE_PERIODS * (scene.period_ms as f64 - DEFAULT_PERIOD_MS as f64);
         }
         Ok(scene)
     }
 }
 
 impl FleetAct {
-    /// How long it goes on by itself (ms).
-    pub(super) fn span(&self) -> f64 {
+    /// Returns how long the act lasts (ms).
+    pub(super) fn duration_ms(&self) -> f64 {
         match self {
-            FleetAct::Stall(_, span) | FleetAct::Flap(_, _, span) | FleetAct::Crowd(_, _, span) => *span,
-            FleetAct::Shut(_, _, span) | FleetAct::Down(_, span) => *span,
-            // And what was heard of it is forgotten.
-            FleetAct::Twin(_, span) => *span + FORGOTTEN * PERIOD as f64,
+            FleetAct::Stall(_, duration)
+            | FleetAct::Flap(_, _, duration)
+            | FleetAct::Crowd(_, _, duration)
+            | FleetAct::Shut(_, _, duration)
+            | FleetAct::Down(_, duration) => *duration,
+            // Includes the time until the other members forget the duplicate.
+            FleetAct::Twin(_, duration) => *duration + DUPLICATE_EXPIRY_PERIODS * DEFAULT_PERIOD_MS as f64,
             _ => 0.0,
         }
     }
 }
 
-/// Why a document is no scene.
+/// Error of parsing a scene document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct SceneError(String);
@@ -331,22 +336,26 @@
 }
 
 fn number(node: &KdlNode, name: &str) -> Result<f64, SceneError> {
-    let told = node.get(name).and_then(value).filter(|n| n.is_finite() && *n >= 0.0);
-    told.ok_or_else(|| SceneError(format!("{}: {name}= wants a number", node.name().value())))
+    let number = node.get(name).and_then(value).filter(|n| n.is_finite() && *n >= 0.0);
+    number
+        .ok_or_else(|| SceneError(format!("{}: {name}= must be a number of 0 or more", node.name().value())))
 }
 
-fn read_act(node: &KdlNode, size: usize) -> Result<FleetAct, SceneError> {
+fn parse_act(node: &KdlNode, size: usize) -> Result<FleetAct, SceneError> {
     let name = node.name().value();
-    let wrong = |what: &str| SceneError(format!("{name}: {what}"));
+    let error = |what: &str| SceneError(format!("{name}: {what}"));
     let numbers: Vec<f64> =
         node.entries().iter().filter(|e| e.name().is_none()).filter_map(|e| value(e.value())).collect();
     let process = |n: usize| {
-        let told = numbers.get(n).map(|n| *n as usize).filter(|n| *n < size);
-        told.ok_or_else(|| wrong("wants the numbers of processes"))
+        let process = numbers.get(n).map(|n| *n as usize).filter(|n| *n < size);
+        process.ok_or_else(|| error(&format!("argument {} must be the number of a process", n + 1)))
+    };
+    let amount = |n: usize| {
+        let amount = numbers.get(n).copied().filter(|n| *n >= 0.0);
+        amount.ok_or_else(|| error(&format!("argument {} must be a number of 0 or more", n + 1)))
     };
-    let span = |n: usize| numbers.get(n).copied().filter(|n| *n >= 0.0).ok_or_else(|| wrong("wants a span"));
     let optional = |key: &str| node.get(key).and_then(value).unwrap_or(0.0).max(0.0);
-    let weather = || LinkQuality {
+    let quality = || LinkQuality {
         loss: optional("loss").min(1.0),
         duplicate: optional("twice").min(1.0),
         delay_ms: optional("delay"),
@@ -361,43 +370,43 @@
         "islands" if numbers.len() == size => {
             FleetAct::Islands(numbers.iter().map(|n| *n as usize).collect())
         }
-        "islands" => return Err(wrong("wants a number for each process")),
-        "weather" => FleetAct::Weather(weather()),
-        "link" => FleetAct::Link(process(0)?, process(1)?, weather()),
+        "islands" => return Err(error("needs a group number for each process")),
+        "weather" => FleetAct::Weather(quality()),
+        "link" => FleetAct::Link(process(0)?, process(1)?, quality()),
         "heal" => FleetAct::Heal,
-        "stall" => FleetAct::Stall(process(0)?, span(1)?),
+        "stall" => FleetAct::Stall(process(0)?, amount(1)?),
         "kill" => FleetAct::Kill(process(0)?),
         "terminate" => FleetAct::Terminate(process(0)?),
         "start" => match node.get("folder").and_then(KdlValue::as_string) {
             None | Some("kept") => FleetAct::Start(process(0)?, StateFolder::Kept),
             Some("emptied") => FleetAct::Start(process(0)?, StateFolder::Emptied),
             Some("old") => FleetAct::Start(process(0)?, StateFolder::Old),
-            Some(_) => return Err(wrong("folder is kept, emptied or old")),
+            Some(_) => return Err(error("folder must be kept, emptied or old")),
         },
-        "flap" => FleetAct::Flap(process(0)?, span(1)?, span(2)?),
-        "flood" => FleetAct::Flood(process(0)?, span(1)? as usize),
-        "crowd" => FleetAct::Crowd(process(0)?, span(1)? as usize, span(2)?),
+        "flap" => FleetAct::Flap(process(0)?, amount(1)?, amount(2)?),
+        "flood" => FleetAct::Flood(process(0)?, amount(1)? as usize),
+        "crowd" => FleetAct::Crowd(process(0)?, amount(1)? as usize, amount(2)?),
         "disk" => FleetAct::Disk(process(0)?, node.get("full").and_then(KdlValue::as_bool).unwrap_or(true)),
-        "twin" => FleetAct::Twin(process(0)?, span(1)?),
+        "twin" => FleetAct::Twin(process(0)?, amount(1)?),
         "joint" => FleetAct::Joint((0..numbers.len()).map(process).collect::<Result<_, _>>()?),
         "settle" => FleetAct::Settle,
         "move" => FleetAct::Move(process(0)?),
-        "limit" => FleetAct::Limit(span(0)?),
+        "limit" => FleetAct::Limit(amount(0)?),
         "busy" => FleetAct::Busy(process(0)?),
         "yield" => FleetAct::Yield(process(0)?),
         "pin" => FleetAct::Pin(process(0)?, process(1)?),
-        "down" => FleetAct::Down(span(0)? as usize, span(1)?),
-        "shut" => FleetAct::Shut(process(0)?, span(1)? as usize, span(2)?),
-        _ => return Err(wrong("unknown")),
+        "down" => FleetAct::Down(amount(0)? as usize, amount(1)?),
+        "shut" => FleetAct::Shut(process(0)?, amount(1)? as usize, amount(2)?),
+        _ => return Err(error("unknown act")),
     })
 }
 
-/// A scene for each hard case that processes can show.
+/// Returns the directed scenes of membership: one for each known hard case.
 pub fn directed_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
-    let p = PERIOD as f64;
+    let p = DEFAULT_PERIOD_MS as f64;
     let scene = FleetScene::new;
-    let late = super::relay::LinkQuality { delay_ms: 2000.0, ..Default::default() };
+    let slow_links = super::relay::LinkQuality { delay_ms: 2000.0, ..Default::default() };
     vec![
         scene("one way cut", 3, vec![(2.0 * p, Cut(0, 1)), (50.0 * p, Heal)]),
         scene(
@@ -422,7 +431,7 @@
             5,
             vec![(2.0 * p, Stall(0, 60.0 * p)), (10.0 * p, Islands(vec![0, 0, 1, 1, 1])), (100.0 * p, Heal)],
         ),
-        scene("everything two seconds late", 3, vec![(2.0 * p, Weather(late)), (60.0 * p, Heal)]),
+        scene("everything two seconds late", 3, vec![(2.0 * p, Weather(slow_links)), (60.0 * p, Heal)]),
         scene("half die at once and others come", 9, {
             let mut acts: Vec<_> = (0..4).map(|n| (2.0 * p, Kill(n))).collect();
             acts.extend((0..4).map(|n| (40.0 * p, Start(n, StateFolder::Emptied))));
@@ -485,13 +494,13 @@
     ]
 }
 
-/// Limits that all share, under faults.
+/// Returns the directed scenes of limits that all processes share.
 pub fn limit_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
-    let p = PERIOD as f64;
+    let p = DEFAULT_PERIOD_MS as f64;
     let scene = |name: &str, acts| FleetScene {
         limit: Some((40.0, Sharing::Rights)),
-        // Just what the limits of two destinations allow, most of it at one.
+        // Exactly what the limits of two destinations allow, most of it at one process.
         busy_share: Some(0.6),
         rate: 16.0,
         ..FleetScene::new(name, 5, acts)
@@ -516,10 +525,10 @@
     ]
 }
 
-/// Duties that one holds at a time, under faults. A lease is three periods.
+/// Returns the directed scenes of duties, of which each has one holder at a time. A lease lasts three periods.
 pub fn duty_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
-    let p = PERIOD as f64;
+    let p = DEFAULT_PERIOD_MS as f64;
     let lease = 3.0 * p;
     let scene = |name: &str, size: usize, acts| FleetScene {
         duties: 3,
@@ -535,9 +544,9 @@
             each.collect()
         }),
         scene("duties, and each is stopped for about a lease", 5, {
-            let spans = [lease - 1000.0 * 0.05, lease, lease + 50.0, 3.0 * lease, 20.0 * lease];
-            let each = spans.iter().enumerate();
-            each.map(|(n, span)| (20.0 * p + 70.0 * p * n as f64, Stall(n, *span))).collect()
+            let durations = [lease - 1000.0 * 0.05, lease, lease + 50.0, 3.0 * lease, 20.0 * lease];
+            let each = durations.iter().enumerate();
+            each.map(|(n, duration)| (20.0 * p + 70.0 * p * n as f64, Stall(n, *duration))).collect()
         }),
         scene(
             "duties, cut in two",
@@ -614,13 +623,13 @@
     ]
 }
 
-/// Partners of all that are down and come back cold, under a limit that all share.
+/// Returns the directed scenes of destinations that are down for all processes and recover cold, under a shared limit.
 pub fn outage_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
-    let p = PERIOD as f64;
+    let p = DEFAULT_PERIOD_MS as f64;
     let scene = |name: &str, acts| FleetScene {
         limit: Some((40.0, Sharing::Rights)),
-        // As much as the limits of two destinations allow, an even part to each process.
+        // Exactly what the limits of two destinations allow, an equal share at each process.
         rate: 16.0,
         ..FleetScene::new(name, 5, acts)
     };
@@ -657,8 +666,8 @@
     ]
 }
 
-/// One starts without its folder while nobody hears it; when they do, the number that it must speak under can't be
-/// written for a while.
+/// A process restarts with an empty folder while it is cut off. When the others can reach it again it needs a higher
+/// boot number, which it cannot store for some time.
 fn no_disk(p: f64) -> Vec<(f64, FleetAct)> {
     use FleetAct::*;
     vec![
@@ -673,7 +682,7 @@
     ]
 }
 
-/// Two of five leave, and come back.
+/// Two of five members leave and rejoin, by joint roster steps.
 fn joint(p: f64) -> Vec<(f64, FleetAct)> {
     use FleetAct::*;
     vec![
@@ -688,7 +697,7 @@
     ]
 }
 
-/// Two halves that only one joins, which then dies.
+/// Two pairs of processes are connected only by process 2, which is then killed.
 fn bridge(p: f64) -> Vec<(f64, FleetAct)> {
     let mut acts = Vec::new();
     for a in [0, 1] {
@@ -707,7 +716,7 @@
     use super::*;
 
     #[test]
-    fn a_seed_is_one_scene_and_a_document_is_read_whole() {
+    fn draws_one_scene_per_seed_and_parses_documents() {
         assert_eq!(FleetScene::draw(5), FleetScene::draw(5));
         assert_ne!(FleetScene::draw(5).acts, FleetScene::draw(6).acts);
         for text in ["", "scene \"a\"", "scene \"a\" size=3 { at 1 { cut 0 3; }; }", "scene \"a\" size=99"] {
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,4 +1,4 @@
-//! Many messages a second over kept connections, some of them handed in once more under their id.
+//! Load generation: many messages per second over persistent connections, some of them submitted again under the same id.
 
 use crate::play::{RunOutcome, StandIns, ms, start_stand_ins, watch_clock};
 use crate::script::Dest;
@@ -19,46 +19,47 @@
     configuration, free_address,
 };
 
-/// After its end a message may come again this much later (ms).
-const AGAIN_AFTER: Duration = Duration::from_secs(1);
-/// A message with less time left is not handed in again (ms).
-const LEFT_LEAST: f64 = 200.0;
-/// What is owed may take so long after the last deadline (ms).
-const REST: f64 = 1500.0;
-/// The half of the messages that may not be repeated, and the other.
+/// Time after a message was taken on at which it may be submitted again.
+const RESUBMIT_DELAY: Duration = Duration::from_secs(1);
+/// Minimum time until its deadline with which a message is submitted again (ms).
+const MIN_TIME_LEFT_MS: f64 = 200.0;
+/// Time after the last deadline within which owed notices are expected (ms).
+const SETTLE_MS: f64 = 1500.0;
+/// Class of the messages that must not be repeated: one half of the load.
 const UNSAFE: &str = "settle-order";
+/// Class of the messages that carry an idempotency key: the other half.
 const KEYED: &str = "auth-notice";
 
-/// A load.
+/// Parameters of a load run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Load {
-    /// The seed of all chance in it.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Messages a second; what the clients can't hand in in time is handed in late.
+    /// Messages per second; messages that the clients cannot submit in time are submitted late.
     pub rate: f64,
-    /// For how long (s).
+    /// Duration of the load (s).
     #[serde(rename = "seconds")]
     pub duration_secs: f64,
-    /// Clients, each with a connection that it keeps.
+    /// Number of clients, each with a persistent connection.
     pub clients: usize,
-    /// Share of the messages that may not be repeated and were taken on which come once more, a second later, under
-    /// the same id and with the time that is left.
+    /// Share of the messages of the class that must not be repeated which are submitted again one second after they
+    /// were taken on, under the same id and with the remaining time.
     #[serde(rename = "again")]
     pub resubmit_share: f64,
-    /// How long a message may be delivered (ms).
+    /// Time from submission to the deadline of a message (ms).
     pub deadline_ms: u64,
-    /// SIGKILLs, evenly over the time.
+    /// Number of SIGKILLs, evenly distributed over the duration.
     pub kills: usize,
-    /// The forwarder's disk (MB).
+    /// Disk limit of the forwarder (MB).
     pub disk_mb: f64,
-    /// Destinations, every second of which takes messages in batches.
+    /// Number of destinations; every second one takes messages in batches.
     pub dests: usize,
-    /// The forwarder's shards, one number for each life; the last one stays.
+    /// Number of shards of the forwarder for each of its lives; resubmissions lives keep the last number.
     pub shards: Vec<usize>,
 }
 
 impl Default for Load {
-    /// A thousand a second for 4 s.
+    /// Returns a load of 1,000 messages per second for 4 s.
     fn default() -> Self {
         Load {
             seed: 1,
@@ -75,45 +76,45 @@
     }
 }
 
-/// What came of a load.
+/// Result of a load run.
 #[derive(Debug)]
 pub struct LoadOutcome {
-    /// Rules that were broken.
+    /// Breaches of the six rules.
     pub breaches: Vec<Breach>,
-    /// What became of the messages, by class.
+    /// Message totals by class.
     pub accounts: BTreeMap<String, Account>,
-    /// Messages that came a second time, and what they heard, by status (0: nothing).
+    /// Number of resubmitted messages by status of the answer; 0 stands for no answer.
     pub resubmitted: BTreeMap<u16, usize>,
-    /// Messages handed in a second, those that came a second time with them.
+    /// Number of submissions that ended per second, including resubmissions.
     pub answered_per_sec: f64,
-    /// How late the run's own clocks were at most (ms).
+    /// Maximum lateness of the rig's own clocks (ms).
     pub lateness_ms: f64,
-    /// Why the program ended although nobody told it to.
+    /// Exit status of the program, if it exited without a signal from the rig.
     pub crashed: Option<String>,
 }
 
 impl LoadOutcome {
-    /// Messages that ran, or may have, more often than their class allows.
+    /// Returns the number of messages that ran, or may have run, more often than their class allows.
     pub fn duplicates(&self) -> usize {
         self.breaches.iter().filter(|b| b.rule == Rule::Twice).count()
     }
 
-    /// The sum over all classes.
+    /// Returns the sum of a field over all classes.
     pub fn total(&self, of: impl Fn(&Account) -> usize) -> usize {
         self.accounts.values().map(of).sum()
     }
 
-    /// Whether all rules were kept and the program lived.
+    /// Returns whether all rules were kept and the program did not crash.
     pub fn is_clean(&self) -> bool {
         self.breaches.is_empty() && self.crashed.is_none()
     }
 }
 
-/// Plays a load against a program, in a folder of its own.
+/// Plays a load against `program`, with `folder` as its working folder.
 ///
 /// # Errors
 ///
-/// The stand-ins or the program can't be started.
+/// The stand-ins or the program cannot be started.
 pub async fn play_load(load: &Load, program: &Path, folder: &Path) -> io::Result<LoadOutcome> {
     let ledger = Ledger::default();
     let lateness_ms = Arc::new(AtomicU64::new(0));
@@ -130,7 +131,7 @@
     let mut rng = Rng::seed_from_u64(load.seed);
     let StandIns { discovery, lines, endpoints, .. } = start_stand_ins(&list, &mut rng, &ledger).await?;
     let class = |name, idempotency| Class { name, idempotency, deadline_ms: load.deadline_ms };
-    let figures = ConfigParams {
+    let params = ConfigParams {
         classes: vec![class(KEYED, "token"), class(UNSAFE, "side_effect")],
         key_ttl_ms: 15_000.0,
         goal_time_ms: load.deadline_ms as f64 / 4.0,
@@ -139,7 +140,7 @@
         seed: load.seed,
         resources: Resources { sockets: 1024, disk_mb: load.disk_mb, max_open: 4000 },
     };
-    let mut config = configuration(&figures, free_address()?, discovery.addr, &lines);
+    let mut config = configuration(&params, free_address()?, discovery.addr, &lines);
     let mut shards = load.shards.iter().copied();
     config["shards"] = shards.next().unwrap_or(1).into();
     let setup = Setup {
@@ -160,7 +161,7 @@
     let mut crashed = None;
     let mut kills =
         (1..=load.kills).map(|n| load.duration_secs * n as f64 / (load.kills + 1) as f64).peekable();
-    let end = start + Duration::from_secs_f64(load.duration_secs) + ms(load.deadline_ms as f64 + REST);
+    let end = start + Duration::from_secs_f64(load.duration_secs) + ms(load.deadline_ms as f64 + SETTLE_MS);
     while Instant::now() < end && crashed.is_none() {
         if kills.next_if(|at| start.elapsed().as_secs_f64() >= *at).is_some() {
             process.kill().await?;
@@ -169,9 +170,10 @@
             }
             process.restart(&config, "").await?;
         }
-        crashed = process.try_exit_status()?.map(|status| format!("the program ended: {status}"));
-        let over = clients.is_empty() || clients.try_join_next().is_some_and(|_| clients.is_empty());
-        if over && process_is_idle(&ledger) {
+        crashed =
+            process.try_exit_status()?.map(|status| format!("the program exited unexpectedly: {status}"));
+        let clients_done = clients.is_empty() || clients.try_join_next().is_some_and(|_| clients.is_empty());
+        if clients_done && has_no_open_messages(&ledger) {
             break;
         }
         sleep(Duration::from_millis(20)).await;
@@ -182,14 +184,14 @@
     drop(endpoints);
     let entries = ledger.entries();
     let lateness_ms = f64::from_bits(lateness_ms.load(Ordering::Relaxed));
-    let terms = RuleParams {
+    let rule_params = RuleParams {
         classes: [(KEYED.to_owned(), Effect::Keyed(15_000.0)), (UNSAFE.to_owned(), Effect::Unsafe)].into(),
         clock_slack_ms: 60.0 + lateness_ms,
         ..RuleParams::default()
     };
-    let (resubmitted, answered) = second_answers(&entries);
+    let (resubmitted, answered) = count_answers(&entries);
     Ok(LoadOutcome {
-        breaches: judge(&terms, &entries),
+        breaches: judge(&rule_params, &entries),
         accounts: accounts(&entries),
         resubmitted,
         answered_per_sec: answered as f64 / load.duration_secs,
@@ -198,24 +200,24 @@
     })
 }
 
-/// Whether everything that was taken on has its end.
-fn process_is_idle(ledger: &Ledger) -> bool {
+/// Returns whether every message that was taken on has ended.
+fn has_no_open_messages(ledger: &Ledger) -> bool {
     accounts(&ledger.entries()).values().all(|a| a.open == 0)
 }
 
-/// What messages heard that came a second time, and how many were heard at all.
-fn second_answers(entries: &[yarrowhill_checker::Entry]) -> (BTreeMap<u16, usize>, usize) {
-    let (mut again, mut all) = (BTreeMap::new(), 0);
+/// Returns the number of resubmissions by status, and the number of all submissions that ended.
+fn count_answers(entries: &[yarrowhill_checker::Entry]) -> (BTreeMap<u16, usize>, usize) {
+    let (mut resubmitted, mut all) = (BTreeMap::new(), 0);
     let mut seen: std::collections::HashSet<&str> = Default::default();
     for entry in entries {
         let yarrowhill_checker::Event::ClientDone { id, outcome: answer } = &entry.event else { continue };
         all += 1;
         if !seen.insert(id) {
             let status = if let ClientOutcome::Status(status) = answer { *status } else { 0 };
-            *again.entry(status).or_default() += 1;
+            *resubmitted.entry(status).or_default() += 1;
         }
     }
-    (again, all)
+    (resubmitted, all)
 }
 
 async fn client(
@@ -227,8 +229,8 @@
     ledger: Ledger,
 ) {
     let mut session = Session::new(to, &ledger);
-    // When each comes once more, and until when it may be delivered (ms, the ledger's clock).
-    let mut later: VecDeque<(Instant, Message, f64)> = VecDeque::new();
+    // Messages to resubmit: when, and their deadlines (ms on the ledger's clock).
+    let mut resubmissions: VecDeque<(Instant, Message, f64)> = VecDeque::new();
     let end = start + Duration::from_secs_f64(load.duration_secs);
     loop {
         let n = next.fetch_add(1, Ordering::Relaxed);
@@ -236,8 +238,8 @@
         if at.max(Instant::now()) >= end {
             break;
         }
-        while later.front().is_some_and(|(due, ..)| *due <= at.max(Instant::now())) {
-            once_more(&mut later, &mut session, &ledger).await;
+        while resubmissions.front().is_some_and(|(due, ..)| *due <= at.max(Instant::now())) {
+            resubmit_next(&mut resubmissions, &mut session, &ledger).await;
         }
         sleep_until(at).await;
         let class = if rng.random_bool(0.5) { UNSAFE } else { KEYED };
@@ -249,30 +251,34 @@
             deadline_ms: load.deadline_ms,
             body_bytes: 200,
         };
-        let up = ledger.now() + load.deadline_ms as f64;
-        let (heard, _) = session.submit(&message, ClientOptions::default()).await;
-        if heard == ClientOutcome::Status(202) && class == UNSAFE && rng.random_bool(load.resubmit_share) {
-            later.push_back((Instant::now() + AGAIN_AFTER, message, up));
+        let deadline = ledger.now() + load.deadline_ms as f64;
+        let (outcome, _) = session.submit(&message, ClientOptions::default()).await;
+        if outcome == ClientOutcome::Status(202) && class == UNSAFE && rng.random_bool(load.resubmit_share) {
+            resubmissions.push_back((Instant::now() + RESUBMIT_DELAY, message, deadline));
         }
     }
-    while !later.is_empty() {
-        once_more(&mut later, &mut session, &ledger).await;
+    while !resubmissions.is_empty() {
+        resubmit_next(&mut resubmissions, &mut session, &ledger).await;
     }
 }
 
-async fn once_more(later: &mut VecDeque<(Instant, Message, f64)>, session: &mut Session, ledger: &Ledger) {
-    let Some((due, mut message, up)) = later.pop_front() else { return };
+async fn resubmit_next(
+    resubmissions: &mut VecDeque<(Instant, Message, f64)>,
+    session: &mut Session,
+    ledger: &Ledger,
+) {
+    let Some((due, mut message, deadline)) = resubmissions.pop_front() else { return };
     sleep_until(due).await;
-    let left = up - ledger.now();
-    if left > LEFT_LEAST {
+    let left = deadline - ledger.now();
+    if left > MIN_TIME_LEFT_MS {
         message.deadline_ms = left as u64;
         session.submit(&message, ClientOptions::default()).await;
     }
 }
 
 impl From<LoadOutcome> for RunOutcome {
-    fn from(loaded: LoadOutcome) -> Self {
-        let LoadOutcome { breaches, accounts, lateness_ms, crashed, .. } = loaded;
+    fn from(outcome: LoadOutcome) -> Self {
+        let LoadOutcome { breaches, accounts, lateness_ms, crashed, .. } = outcome;
         RunOutcome {
             breaches,
             accounts,
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -1,4 +1,4 @@
-//! What a seed stands for.
+//! Scripts: the destinations, faults and client behaviour that a seed determines.
 
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -12,103 +12,103 @@
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 2500 },
     Class { name: "settle-order", idempotency: "side_effect", deadline_ms: 2000 },
 ];
-const KEY_LIFE: f64 = 1200.0;
-const WARM: f64 = 2000.0;
-const FALL_FOR: f64 = 600.0;
-const FALL_MULTIPLE: f64 = 2.0;
+const KEY_TTL_MS: f64 = 1200.0;
+const WARM_UP_MS: f64 = 2000.0;
+const OVERLOAD_FOR_MS: f64 = 600.0;
+const OVERLOAD_MULTIPLE: f64 = 2.0;
 const START_CAPACITY: f64 = 0.17;
-/// How long clients go on handing in messages (ms).
-const TRAFFIC: f64 = 3000.0;
+/// Duration for which clients submit messages (ms).
+const TRAFFIC_MS: f64 = 3000.0;
 
-/// A destination.
+/// A destination of a script.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Dest {
-    /// Its number.
+    /// Number of the destination.
     pub number: u64,
-    /// Whether messages travel to it in batches.
+    /// Whether it takes messages in batches.
     pub batches: bool,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Usual time of a call (ms).
+    /// Typical duration of a call (ms).
     #[serde(rename = "pace")]
     pub call_ms: f64,
-    /// Calls a second.
+    /// Limit on calls per second.
     #[serde(rename = "limit")]
     pub calls_per_sec: f64,
-    /// What goes wrong there.
+    /// Faults that its endpoints inject.
     pub faults: Faults,
 }
 
-/// Something that happens at a time.
+/// A fault that a script injects at a given time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Act {
-    /// SIGKILL, and a new start after so long (ms).
+    /// Kills the process by SIGKILL and restarts it after this pause (ms).
     Kill(f64),
-    /// SIGTERM, SIGKILL 3.7 s later at the latest, and a new start.
+    /// Ends the process by SIGTERM, and by SIGKILL if it runs 3.7 s later, and restarts it.
     Terminate,
-    /// SIGHUP to another discovery; the old one falls silent.
+    /// Switches the process to another discovery by SIGHUP; the old one sends nothing more.
     Reload,
-    /// A destination shuts (or falls silent) for so long (ms), and comes back cold.
+    /// A destination refuses or ignores all calls for some time, and recovers cold.
     Down {
-        /// Which, by its place.
+        /// Index of the destination.
         dest: usize,
-        /// Shut, or silent.
+        /// Whether it refuses calls; otherwise it does not answer them.
         shut: bool,
-        /// For how long (ms).
+        /// Duration of the outage (ms).
         #[serde(rename = "span")]
         duration_ms: f64,
     },
-    /// An endpoint drains; so long after (ms) it is gone and a new one stands at its address.
+    /// An endpoint drains, and is then replaced by a new one at the same address.
     Replace {
-        /// Its destination, by its place.
+        /// Index of its destination.
         dest: usize,
-        /// Which of its endpoints.
+        /// Index of the endpoint at the destination.
         endpoint: usize,
-        /// How long it drains (ms).
+        /// Duration of the drain (ms).
         #[serde(rename = "drains")]
         drain_ms: f64,
     },
-    /// Discovery tells nothing for so long (ms).
+    /// Discovery sends no updates for this time (ms).
     Stale(f64),
-    /// Every nth request with notices breaks off.
+    /// Every nth request that carries notices is cut off.
     DropNotices(u64),
 }
 
 /// Everything that a seed draws.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Script {
-    /// The seed.
+    /// Seed that the script was drawn from.
     pub seed: u64,
-    /// Messages a second.
+    /// Messages per second.
     pub rate: f64,
-    /// Destinations.
+    /// Destinations that messages are sent to.
     pub dests: Vec<Dest>,
-    /// What happens when (ms).
+    /// Faults with their times from the start of the run (ms), in order.
     pub acts: Vec<(f64, Act)>,
-    /// Share of clients that leave early, that stop halfway, and that send their request twice.
+    /// Shares of clients that time out early, that abort midway through the request, and that send duplicates.
     #[serde(rename = "clients")]
     pub client_faults: [f64; 3],
-    /// The point at which the process ends by itself, and at which passing.
+    /// Fault point at which the process exits, and the number of times that it is reached until then.
     #[serde(rename = "die")]
     pub exit_at: Option<(String, u64)>,
-    /// No file of the program's may grow longer (bytes).
+    /// Maximum size of a file that the program writes (bytes).
     #[serde(rename = "file_most")]
     pub max_file_bytes: Option<u64>,
-    /// The journal is damaged at this part of its length while the process is down.
+    /// Position, as a part of its length, at which the journal is corrupted while the process is down.
     pub damage: Option<f64>,
-    /// The forwarder's shards.
+    /// Number of shards of the forwarder.
     pub shards: usize,
 }
 
 impl Script {
-    /// Draws it.
+    /// Draws the script of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Rng::seed_from_u64(seed ^ 0x5eed);
         let dests: Vec<Dest> = (0..3 + rng.random_range(0..3u64))
             .map(|n| {
                 let batches = n == 0 || rng.random_bool(0.4);
-                let some = |rng: &mut Rng, share: f64, most: f64| {
-                    if rng.random_bool(share) { rng.random_range(0.01..most) } else { 0.0 }
+                let maybe = |rng: &mut Rng, probability: f64, max: f64| {
+                    if rng.random_bool(probability) { rng.random_range(0.01..max) } else { 0.0 }
                 };
                 Dest {
                     number: 10 + n,
@@ -117,15 +117,15 @@
                     call_ms: rng.random_range(10.0..120.0),
                     calls_per_sec: rng.random_range(12.0..60.0),
                     faults: Faults {
-                        error: some(&mut rng, 0.3, 0.1),
-                        malformed: some(&mut rng, 0.4, 0.2),
-                        silent: some(&mut rng, 0.4, 0.08),
-                        late: some(&mut rng, 0.4, 0.15),
-                        reset: some(&mut rng, 0.3, 0.1),
-                        duplicate: some(&mut rng, 0.3, 0.2),
-                        duplicate_within_ms: some(&mut rng, 0.5, 300.0),
-                        mixed: some(&mut rng, 0.5, 0.4),
-                        just_in_time: some(&mut rng, 0.2, 0.1),
+                        error: maybe(&mut rng, 0.3, 0.1),
+                        malformed: maybe(&mut rng, 0.4, 0.2),
+                        silent: maybe(&mut rng, 0.4, 0.08),
+                        late: maybe(&mut rng, 0.4, 0.15),
+                        reset: maybe(&mut rng, 0.3, 0.1),
+                        duplicate: maybe(&mut rng, 0.3, 0.2),
+                        duplicate_within_ms: maybe(&mut rng, 0.5, 300.0),
+                        mixed: maybe(&mut rng, 0.5, 0.4),
+                        just_in_time: maybe(&mut rng, 0.2, 0.1),
                     },
                 }
             })
@@ -169,7 +169,7 @@
             acts.push((0.0, Act::DropNotices(2 + rng.random_range(0..3))));
         }
         acts.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let full = exit_at.is_none() && rng.random_bool(0.15);
+        let limit_file_size = exit_at.is_none() && rng.random_bool(0.15);
         Script {
             seed,
             rate: rng.random_range(30.0..90.0),
@@ -181,71 +181,71 @@
                 rng.random_range(0.0..0.08),
             ],
             exit_at,
-            max_file_bytes: full.then(|| 512 * (20 + rng.random_range(0..60u64))),
+            max_file_bytes: limit_file_size.then(|| 512 * (20 + rng.random_range(0..60u64))),
             damage,
             shards: 1,
         }
     }
 
-    /// The same with another number of shards.
+    /// Returns the script with another number of shards.
     pub fn with_shards(self, shards: usize) -> Self {
-        let rename = Point::BeforeRename.name();
-        // Each segment of a new layout is written once before the program is ready for the first time.
+        let before_rename = Point::BeforeRename.name();
+        // Each segment of a new layout is renamed into place once before the program is ready for the first time.
         let exit_at = self.exit_at.map(|(point, nth)| {
-            let made = if point == rename && shards > 1 { shards as u64 } else { 0 };
-            (point, nth + made)
+            let segments = if point == before_rename && shards > 1 { shards as u64 } else { 0 };
+            (point, nth + segments)
         });
         Script { shards, exit_at, ..self }
     }
 
-    /// When clients stop (ms).
+    /// Returns the time at which clients stop submitting messages (ms).
     pub fn traffic_ms(&self) -> f64 {
-        TRAFFIC
+        TRAFFIC_MS
     }
 
-    /// How long until all must have ended (ms), from the end of the traffic.
+    /// Returns the time from the end of the traffic until all messages must have ended (ms).
     pub fn settle_ms(&self) -> f64 {
-        let longest = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
-        // A planned end may take 3.7 s, and what is open is overdue only a while after the next start.
-        let planned = self.acts.iter().any(|(_, act)| *act == Act::Terminate);
-        longest + 600.0 + if planned { 2000.0 } else { 0.0 }
+        let max_deadline = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
+        // A terminates termination may take 3.7 s, and open messages become overdue only some time after the restart.
+        let terminates = self.acts.iter().any(|(_, act)| *act == Act::Terminate);
+        max_deadline + 600.0 + if terminates { 2000.0 } else { 0.0 }
     }
 
-    /// A message's class by name and how long it may be delivered, drawn.
+    /// Draws the class of a message, by name, and the time until its deadline (ms).
     pub fn draw_class(rng: &mut Rng) -> (&'static str, u64) {
         let class = CLASSES[usize::from(rng.random_bool(0.5))];
-        // Some have been about for a while.
+        // Some messages have used up to half of their time before they are submitted.
         let half = class.deadline_ms / 2;
         let left = if rng.random_bool(0.15) { half + rng.random_range(0..half) } else { class.deadline_ms };
         (class.name, left)
     }
 
-    /// The configuration file.
+    /// Returns the configuration file of the forwarder.
     pub fn config(&self, listen: SocketAddr, discovery: SocketAddr, lines: &[EndpointLine]) -> Value {
-        let figures = ConfigParams {
+        let params = ConfigParams {
             classes: CLASSES.to_vec(),
-            key_ttl_ms: KEY_LIFE,
+            key_ttl_ms: KEY_TTL_MS,
             goal_time_ms: 500.0,
             slots: 24,
-            fail_back: [FALL_MULTIPLE, FALL_FOR, START_CAPACITY, WARM],
+            fail_back: [OVERLOAD_MULTIPLE, OVERLOAD_FOR_MS, START_CAPACITY, WARM_UP_MS],
             seed: self.seed,
             resources: Resources::default(),
         };
-        let mut config = configuration(&figures, listen, discovery, lines);
+        let mut config = configuration(&params, listen, discovery, lines);
         config["shards"] = self.shards.into();
         config
     }
 
-    /// The figures by which it is judged.
+    /// Returns the parameters of the rules, for a run with clocks that were up to `lateness_ms` late.
     pub fn rule_params(&self, lateness_ms: f64) -> RuleParams {
-        let effect = |kind: &str| if kind == "token" { Effect::Keyed(KEY_LIFE) } else { Effect::Unsafe };
+        let effect = |kind: &str| if kind == "token" { Effect::Keyed(KEY_TTL_MS) } else { Effect::Unsafe };
         RuleParams {
             classes: CLASSES.iter().map(|c| (c.name.to_owned(), effect(c.idempotency))).collect(),
-            overload_multiple: FALL_MULTIPLE,
-            overload_for_ms: FALL_FOR,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_for_ms: OVERLOAD_FOR_MS,
             start_capacity: START_CAPACITY,
-            warm_up_ms: WARM,
-            // Half of what the platform allows: the module sends nothing from the moment that it hears.
+            warm_up_ms: WARM_UP_MS,
+            // Half of what the platform allows: the module must send nothing once it has received the change.
             drain_grace_ms: 1000.0,
             clock_slack_ms: 60.0 + lateness_ms,
             ..RuleParams::default()
