--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -1,4 +1,4 @@
-//! The fault rig's command line.
+//! Command line of the fault-injection rig.
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -12,7 +12,7 @@
     directed_scenes, duty_scenes, limit_scenes, outage_scenes, patched_files, play_load, play_scenes, sweep,
 };
 
-/// Plays scripted faults by seeds against the forwarder and judges the six rules.
+/// Plays seeded fault scripts and fleet scenes against the forwarder, and checks the six rules.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -21,168 +21,170 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays many seeds beside each other.
+    /// Plays the scripts of many seeds in parallel.
     Run {
-        /// How many.
+        /// Number of seeds.
         #[arg(long, default_value_t = 200)]
         seeds: u64,
-        /// The first.
+        /// First seed.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Runs at once.
+        /// Maximum number of concurrent runs.
         #[arg(long, default_value_t = 24)]
         jobs: usize,
         /// Builds the program with this bug planted first.
         #[arg(long, value_parser = bug)]
         bug: Option<Bug>,
-        /// The forwarder's shards.
+        /// Number of shards of the forwarder.
         #[arg(long, default_value_t = 1)]
         shards: usize,
     },
     /// Plays one seed and prints its script and its breaches.
     Seed {
-        /// Which.
+        /// The seed.
         seed: u64,
         /// Builds the program with this bug planted first.
         #[arg(long, value_parser = bug)]
         bug: Option<Bug>,
-        /// Prints every entry that names this message.
+        /// Prints every ledger entry that contains this message id.
         #[arg(long)]
         message: Option<String>,
-        /// The forwarder's shards.
+        /// Number of shards of the forwarder.
         #[arg(long, default_value_t = 1)]
         shards: usize,
     },
     /// Prints the script of a seed.
     Show {
-        /// Which.
+        /// The seed.
         seed: u64,
     },
-    /// Plants each bug in turn, in a scratch copy, and tells what catches it.
+    /// Plants each bug in turn, in a scratch copy, and prints the breach that catches it.
     Bugs {
-        /// Runs of what is made for each.
+        /// Maximum number of runs for each bug.
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// Runs at once.
+        /// Maximum number of concurrent runs.
         #[arg(long, default_value_t = 20)]
         jobs: usize,
-        /// This one alone.
+        /// Plants this bug only.
         #[arg(long, value_parser = bug)]
         only: Option<Bug>,
-        /// Only looks whether each patch fits.
+        /// Only checks that each patch applies.
         #[arg(long)]
         fit: bool,
     },
-    /// Counts over the debug logs of many forwarders.
+    /// Prints statistics over the debug logs of many forwarders.
     Count {
-        /// Logs, one for each forwarder.
+        /// Debug logs, one for each forwarder.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// What rows are for.
+        /// What each row is for.
         #[arg(long, value_enum, default_value_t = By::Destination)]
         by: By,
-        /// Every line about this message, in the order of their times.
+        /// Prints every log line that contains this message id, ordered by time, instead of statistics.
         #[arg(long)]
         message: Option<String>,
     },
-    /// Plays scenes over several processes that know each other.
+    /// Plays chaos scenes over several processes that form a fleet.
     Fleet {
-        /// A scene's document.
+        /// Plays the scene of this document.
         #[arg(long)]
         scene: Option<PathBuf>,
-        /// The directed scenes, one for each hard case.
+        /// Plays the directed scenes of membership, one for each hard case.
         #[arg(long)]
         directed: bool,
-        /// The directed scenes under a limit that all share.
+        /// Plays the directed scenes of a shared limit.
         #[arg(long)]
         limited: bool,
-        /// The directed scenes of partners that are down and come back.
+        /// Plays the directed scenes of destinations that are down and recover.
         #[arg(long)]
         returning: bool,
-        /// The directed scenes of duties that one holds at a time.
+        /// Plays the directed scenes of duties.
         #[arg(long)]
         dutiful: bool,
-        /// Seeds with duties.
+        /// Number of seeds with duties.
         #[arg(long, default_value_t = 0)]
         dutiful_seeds: u64,
-        /// Seeds under a limit that all share.
+        /// Number of seeds with a shared limit.
         #[arg(long, default_value_t = 0)]
         limited_seeds: u64,
-        /// Of all these, those with this in their name.
+        /// Plays only those scenes whose name contains this text.
         #[arg(long)]
         only: Option<String>,
-        /// Scenes with a limit are played in all three ways to keep to it; those without rights are not judged.
+        /// Plays each scene in all four ways to share a limit; only the one with rights is judged by the
+        /// fleet rules.
         #[arg(long)]
         compare: bool,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 0)]
         seeds: u64,
-        /// The first.
+        /// First seed.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Scenes at once.
+        /// Maximum number of concurrent scenes.
         #[arg(long, default_value_t = 6)]
         jobs: usize,
         /// Another build of the program, for every second process.
         #[arg(long)]
         beside: Option<PathBuf>,
-        /// Prints all that was done and told.
+        /// Prints the ledger: all injected faults and reports of the processes.
         #[arg(long)]
         ledger: bool,
-        /// The folder of the scene, so that others can ask its processes: `FOLDER/0/state` is the first one's state.
+        /// Folder of the scene, for access to its processes: `FOLDER/0/state` is the state folder of process
+        /// 0.
         #[arg(long, requires = "scene")]
         folder: Option<PathBuf>,
-        /// Prints each act as it is done.
+        /// Prints each act when it is due.
         #[arg(long, requires = "scene")]
         show: bool,
     },
-    /// Hands in many messages a second, some of them once more, and counts what ran twice.
+    /// Submits many messages per second, some of them again, and counts those that ran twice.
     Load(LoadArgs),
 }
 
-/// What a row of counts is for.
+/// Rows of the printed statistics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 enum By {
-    /// Each destination.
+    /// One row per destination.
     Destination,
-    /// Each forwarder.
+    /// One row per forwarder.
     Forwarder,
-    /// Each second.
+    /// One row per second.
     Second,
-    /// All together.
+    /// One row for everything.
     All,
 }
 
 #[derive(Args)]
 struct LoadArgs {
-    /// Messages a second.
+    /// Messages per second.
     #[arg(long, default_value_t = 1000.0)]
     rate: f64,
-    /// For how long (s).
+    /// Duration (s).
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Clients, each with a connection that it keeps.
+    /// Number of clients, each with a persistent connection.
     #[arg(long, default_value_t = 32)]
     clients: usize,
-    /// Share of the messages that may not be repeated which come once more a second later.
+    /// Share of the messages that must not be repeated which are submitted again one second later.
     #[arg(long, default_value_t = 0.1)]
     again: f64,
-    /// How long a message may be delivered (ms).
+    /// Time from submission to the deadline of a message (ms).
     #[arg(long, default_value_t = 6000)]
     deadline_ms: u64,
-    /// SIGKILLs.
+    /// Number of SIGKILLs.
     #[arg(long, default_value_t = 0)]
     kills: usize,
-    /// The forwarder's disk (MB).
+    /// Disk limit of the forwarder (MB).
     #[arg(long, default_value_t = 3.0)]
     disk_mb: f64,
-    /// The seed.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The forwarder's shards, one number for each life, with commas between them.
+    /// Number of shards of the forwarder for each of its lives, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     shards: Vec<usize>,
-    /// Destinations.
+    /// Number of destinations.
     #[arg(long, default_value_t = 8)]
     dests: usize,
     /// Builds the program with this bug planted first.
@@ -192,7 +194,7 @@
 
 fn bug(name: &str) -> Result<Bug, String> {
     let names: Vec<&str> = Bug::ALL.iter().map(|bug| bug.name()).collect();
-    Bug::named(name).ok_or_else(|| format!("one of {}", names.join(", ")))
+    Bug::named(name).ok_or_else(|| format!("must be one of {}", names.join(", ")))
 }
 
 fn main() -> ExitCode {
@@ -210,8 +212,8 @@
     }
 }
 
-/// The program, which stands beside this one, or one that is built with a bug.
-fn program(bug: Option<Bug>) -> io::Result<PathBuf> {
+/// Returns the path of the program: the one next to this executable, or a build with a planted bug.
+fn program_path(bug: Option<Bug>) -> io::Result<PathBuf> {
     if let Some(bug) = bug {
         println!("building the program with {} ...", bug.name());
         return ScratchBuild::open().and_then(|scratch| scratch.build(bug)).map_err(io::Error::other);
@@ -220,14 +222,14 @@
     match path.exists() {
         true => Ok(path),
         false => {
-            Err(io::Error::other("yarrowhill-faulty is not built: cargo build -p yarrowhill-rig --bins"))
+            Err(io::Error::other("yarrowhill-faulty is not built; run cargo build -p yarrowhill-rig --bins"))
         }
     }
 }
 
-fn bar(len: u64, what: &str) -> ProgressBar {
+fn progress_bar(len: u64, label: &str) -> ProgressBar {
     let style = ProgressStyle::with_template("{prefix} [{bar:40}] {pos}/{len} {msg}");
-    let bar = ProgressBar::new(len).with_prefix(what.to_owned());
+    let bar = ProgressBar::new(len).with_prefix(label.to_owned());
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
 
@@ -236,7 +238,7 @@
         Command::Run { seeds, from, jobs, bug, shards } => run(from..from + seeds, jobs, bug, shards).await,
         Command::Seed { seed, bug, message, shards } => {
             println!("{}", serde_json::to_string_pretty(&Script::draw(seed))?);
-            let program = program(bug)?;
+            let program = program_path(bug)?;
             let plan = Sweep {
                 program: &program,
                 seeds: vec![seed],
@@ -246,9 +248,9 @@
                 stop_at_first: false,
             };
             let mut clean = true;
-            sweep(plan, |_, played| {
-                clean = played.is_clean();
-                tell(played, message.as_deref());
+            sweep(plan, |_, outcome| {
+                clean = outcome.is_clean();
+                print_outcome(outcome, message.as_deref());
             })
             .await?;
             Ok(clean)
@@ -271,8 +273,8 @@
         Command::Bugs { seeds, jobs, only, fit: false } => bugs(seeds, jobs, only).await,
         Command::Load(args) => load(args).await,
         Command::Count { logs, by, message } => match message {
-            Some(message) => follow(&logs, &message),
-            None => Ok(counted(&logs, by)),
+            Some(message) => print_message_lines(&logs, &message),
+            None => Ok(print_counts(&logs, by)),
         },
         Command::Fleet { scene: Some(path), folder: Some(folder), ledger, show, .. } => {
             let text = std::fs::read_to_string(path)?;
@@ -289,26 +291,26 @@
                 });
             }
             let _ = std::fs::remove_dir_all(&folder);
-            let played = yarrowhill_rig::play_scene(&scene, &[&program(None)?], &folder).await?;
+            let outcome = yarrowhill_rig::play_scene(&scene, &[&program_path(None)?], &folder).await?;
             if ledger {
-                for entry in &played.ledger {
+                for entry in &outcome.ledger {
                     println!("{:8.1} {}", entry.at, serde_json::to_string(&entry.event).unwrap_or_default());
                 }
             }
             if show {
-                changes(&played);
+                print_changes(&outcome);
             }
-            played.breaches.iter().for_each(|b| println!("{b}"));
-            played.rule_breaches.iter().for_each(|(n, b)| println!("{n}: {b}"));
-            println!("{}: {}", scene.name, if played.is_clean() { "everything held" } else { "not clean" });
-            Ok(played.is_clean())
+            outcome.breaches.iter().for_each(|b| println!("{b}"));
+            outcome.rule_breaches.iter().for_each(|(n, b)| println!("{n}: {b}"));
+            println!("{}: {}", scene.name, if outcome.is_clean() { "all rules kept" } else { "not clean" });
+            Ok(outcome.is_clean())
         }
         Command::Fleet {
             scene,
-            directed: all,
-            limited: limits,
-            returning: returns,
-            dutiful: duties,
+            directed,
+            limited,
+            returning,
+            dutiful,
             dutiful_seeds,
             limited_seeds,
             compare,
@@ -325,25 +327,28 @@
                 let text = std::fs::read_to_string(path)?;
                 scenes.push(FleetScene::parse(&text).map_err(io::Error::other)?);
             }
-            if all {
+            if directed {
                 scenes.extend(directed_scenes());
             }
             scenes.extend((from..from + seeds).map(FleetScene::draw));
-            scenes.extend(if limits { limit_scenes() } else { Vec::new() });
-            scenes.extend(if returns { outage_scenes() } else { Vec::new() });
-            scenes.extend(if duties { duty_scenes() } else { Vec::new() });
+            scenes.extend(if limited { limit_scenes() } else { Vec::new() });
+            scenes.extend(if returning { outage_scenes() } else { Vec::new() });
+            scenes.extend(if dutiful { duty_scenes() } else { Vec::new() });
             scenes.extend((from..from + dutiful_seeds).map(FleetScene::draw_with_duties));
             scenes.extend((from..from + limited_seeds).map(FleetScene::draw_with_limit));
             if let Some(only) = only {
                 scenes.retain(|scene| scene.name.contains(&only));
             }
             if compare {
-                let ways = [Sharing::Rights, Sharing::Apart, Sharing::Even, Sharing::Alone];
-                let by = |scene: &FleetScene, way| {
-                    let (limit, name) = (scene.limit.map(|(calls, _)| (calls, way)), &scene.name);
-                    FleetScene { limit, name: format!("{name}, {way:?}"), ..scene.clone() }
+                let sharings = [Sharing::Rights, Sharing::Apart, Sharing::Even, Sharing::Alone];
+                let with_sharing = |scene: &FleetScene, sharing| {
+                    let (limit, name) = (scene.limit.map(|(calls, _)| (calls, sharing)), &scene.name);
+                    FleetScene { limit, name: format!("{name}, {sharing:?}"), ..scene.clone() }
                 };
-                scenes = scenes.iter().flat_map(|scene| ways.map(|way| by(scene, way))).collect();
+                scenes = scenes
+                    .iter()
+                    .flat_map(|scene| sharings.map(|sharing| with_sharing(scene, sharing)))
+                    .collect();
             }
             fleet(scenes, jobs, ledger, beside).await
         }
@@ -351,51 +356,51 @@
 }
 
 async fn run(seeds: std::ops::Range<u64>, jobs: usize, bug: Option<Bug>, shards: usize) -> io::Result<bool> {
-    let program = program(bug)?;
+    let program = program_path(bug)?;
     let count = seeds.end - seeds.start;
-    let bar = bar(count, bug.map_or("seeds", Bug::name));
-    let (mut messages, mut late) = (0, 0.0f64);
+    let bar = progress_bar(count, bug.map_or("seeds", Bug::name));
+    let (mut messages, mut max_lateness) = (0, 0.0f64);
     let plan =
         Sweep { program: &program, seeds: seeds.collect(), jobs, bug: None, shards, stop_at_first: false };
-    let unclean = sweep(plan, |_, played| {
-        messages += played.accounts.values().map(|a| a.sent).sum::<usize>();
-        late = late.max(played.lateness_ms);
+    let unclean = sweep(plan, |_, outcome| {
+        messages += outcome.accounts.values().map(|a| a.sent).sum::<usize>();
+        max_lateness = max_lateness.max(outcome.lateness_ms);
         bar.inc(1);
     })
     .await?;
     bar.finish();
-    println!("{count} seeds, {messages} messages, own clocks {late:.0} ms late at most");
+    println!("{count} seeds, {messages} messages, rig clocks at most {max_lateness:.0} ms late");
     for rule in Rule::ALL {
-        let broken = |p: &RunOutcome| p.breaches.iter().any(|b| b.rule == rule);
-        println!("{rule:?}: broken by {}", unclean.iter().filter(|(_, p)| broken(p)).count());
+        let breaks_rule = |p: &RunOutcome| p.breaches.iter().any(|b| b.rule == rule);
+        println!("{rule:?}: broken by {}", unclean.iter().filter(|(_, p)| breaks_rule(p)).count());
     }
-    for (seed, played) in &unclean {
+    for (seed, outcome) in &unclean {
         println!("seed {seed}: replay with `rig seed {seed}`");
-        played.crashed.iter().for_each(|why| println!("  {why}"));
-        played.breaches.iter().take(5).for_each(|b| println!("  {b}"));
+        outcome.crashed.iter().for_each(|why| println!("  {why}"));
+        outcome.breaches.iter().take(5).for_each(|b| println!("  {b}"));
     }
     Ok(unclean.is_empty())
 }
 
-fn tell(played: &RunOutcome, message: Option<&str>) {
-    for entry in &played.ledger {
+fn print_outcome(outcome: &RunOutcome, message: Option<&str>) {
+    for entry in &outcome.ledger {
         let text = serde_json::to_string(&entry.event).unwrap_or_default();
         if message.is_some_and(|m| text.contains(m)) {
             println!("{:8.1} {text}", entry.at);
         }
     }
-    played.accounts.iter().for_each(|(class, account)| println!("{class}: {account:?}"));
-    println!("own clocks {:.0} ms late at most", played.lateness_ms);
-    played.crashed.iter().for_each(|why| println!("{why}"));
-    played.breaches.iter().for_each(|b| println!("{b}"));
-    played.fleet_breaches.iter().for_each(|b| println!("{b}"));
+    outcome.accounts.iter().for_each(|(class, account)| println!("{class}: {account:?}"));
+    println!("rig clocks at most {:.0} ms late", outcome.lateness_ms);
+    outcome.crashed.iter().for_each(|why| println!("{why}"));
+    outcome.breaches.iter().for_each(|b| println!("{b}"));
+    outcome.fleet_breaches.iter().for_each(|b| println!("{b}"));
 }
 
 async fn bugs(seeds: u64, jobs: usize, only: Option<Bug>) -> io::Result<bool> {
     let scratch = ScratchBuild::open().map_err(io::Error::other)?;
     let wanted: Vec<Bug> =
         Bug::ALL.iter().copied().filter(|bug| only.is_none_or(|only| only == *bug)).collect();
-    let bar = bar(wanted.len() as u64, "bugs");
+    let bar = progress_bar(wanted.len() as u64, "bugs");
     let mut all = true;
     for bug in wanted {
         bar.set_message(bug.name());
@@ -410,10 +415,10 @@
         };
         let caught = sweep(plan, |_, _| {}).await?;
         let line = match caught.first() {
-            Some((seed, played)) => match (played.breaches.first(), played.fleet_breaches.first()) {
+            Some((seed, outcome)) => match (outcome.breaches.first(), outcome.fleet_breaches.first()) {
                 (Some(b), _) => format!("{:36} seed {seed:3}: {b}", bug.name()),
                 (_, Some(b)) => format!("{:36} seed {seed:3}: {b}", bug.name()),
-                _ => format!("{:36} seed {seed:3}: {:?}", bug.name(), played.crashed),
+                _ => format!("{:36} seed {seed:3}: {:?}", bug.name(), outcome.crashed),
             },
             None => {
                 all = false;
@@ -421,15 +426,15 @@
             }
         };
         if bug.is_in_io_free_package() {
-            // What processes show is told at once: the other attack takes its time.
+            // Prints the result of the runs already, as `attack` takes long.
             bar.println(&line);
         }
         let line = match bug.is_in_io_free_package().then(|| scratch.attack(bug)) {
             None => line,
-            Some(Ok(Some(told))) => format!("{line}; {told}"),
+            Some(Ok(Some(breach))) => format!("{line}; {breach}"),
             Some(Ok(None)) => {
                 all = false;
-                format!("{line}; not caught without processes")
+                format!("{line}; not caught by attack")
             }
             Some(Err(e)) => return Err(io::Error::other(e)),
         };
@@ -447,9 +452,12 @@
     let LoadArgs { rate, seconds, clients, again, deadline_ms, kills, disk_mb, seed, shards, dests, bug } =
         args;
     if !(rate > 0.0 && seconds > 0.0 && seconds <= 600.0 && (0.0..=1.0).contains(&again) && clients <= 512) {
-        return Err(io::Error::other("a rate above 0, up to 600 s, a share from 0 to 1, up to 512 clients"));
+        return Err(io::Error::other(
+            "out of range: rate must be above 0, seconds above 0 and at most 600, again from 0 to 1, \
+             clients at most 512",
+        ));
     }
-    let program = program(bug)?;
+    let program = program_path(bug)?;
     let load = Load {
         seed,
         rate,
@@ -463,30 +471,30 @@
         shards,
     };
     let folder = std::env::temp_dir().join(format!("yarrowhill-load-{}", std::process::id()));
-    let bar = bar(0, "load").with_message("playing");
+    let bar = progress_bar(0, "load").with_message("playing");
     bar.enable_steady_tick(std::time::Duration::from_millis(200));
-    let loaded = play_load(&load, &program, &folder).await;
+    let outcome = play_load(&load, &program, &folder).await;
     bar.finish_and_clear();
-    // Left behind, it would be of no use to anybody.
+    // Best effort: nothing uses the folder after the run.
     let _ = std::fs::remove_dir_all(&folder);
-    let loaded = loaded?;
-    println!("offered     {rate:.0} messages a second for {seconds} s, {kills} SIGKILLs, {disk_mb} MB");
-    println!("answered    {:.0} a second", loaded.answered_per_sec);
-    println!("sent        {}", loaded.total(|a| a.sent));
-    println!("taken on    {}", loaded.total(|a| a.taken_on));
-    let delivered = loaded.total(|a| a.delivered);
-    println!("delivered   {delivered} ({:.0} a second)", delivered as f64 / seconds);
-    println!("refused     {}", loaded.total(|a| a.refused));
-    println!("came again  {:?} (status: messages)", loaded.resubmitted);
-    println!("doubled     {}", loaded.duplicates());
-    println!("own clocks  {:.0} ms late at most", loaded.lateness_ms);
-    loaded.crashed.iter().for_each(|why| println!("{why}"));
-    loaded.breaches.iter().take(10).for_each(|b| println!("{b}"));
-    Ok(loaded.is_clean())
+    let outcome = outcome?;
+    println!("offered     {rate:.0} messages per second for {seconds} s, {kills} SIGKILLs, {disk_mb} MB");
+    println!("answered    {:.0} per second", outcome.answered_per_sec);
+    println!("sent        {}", outcome.total(|a| a.sent));
+    println!("taken on    {}", outcome.total(|a| a.taken_on));
+    let delivered = outcome.total(|a| a.delivered);
+    println!("delivered   {delivered} ({:.0} per second)", delivered as f64 / seconds);
+    println!("refused     {}", outcome.total(|a| a.refused));
+    println!("resubmitted {:?} (status: messages)", outcome.resubmitted);
+    println!("duplicates  {}", outcome.duplicates());
+    println!("rig clocks  at most {:.0} ms late", outcome.lateness_ms);
+    outcome.crashed.iter().for_each(|why| println!("{why}"));
+    outcome.breaches.iter().take(10).for_each(|b| println!("{b}"));
+    Ok(outcome.is_clean())
 }
 
-/// Every line about a message, over all logs.
-fn follow(logs: &[PathBuf], message: &str) -> io::Result<bool> {
+/// Prints every line about a message over all logs, ordered by time; returns whether there is one.
+fn print_message_lines(logs: &[PathBuf], message: &str) -> io::Result<bool> {
     let mut found = Vec::new();
     for log in logs {
         let name = log.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
@@ -502,7 +510,8 @@
     Ok(!found.is_empty())
 }
 
-fn counted(logs: &[PathBuf], by: By) -> bool {
+/// Prints statistics over logs; returns whether all logs could be read completely.
+fn print_counts(logs: &[PathBuf], by: By) -> bool {
     let counts = count(logs);
     let mut rows: BTreeMap<String, Cell> = BTreeMap::new();
     let first = counts.cells.keys().map(|(.., second)| *second).min().unwrap_or(0);
@@ -515,11 +524,12 @@
         };
         rows.entry(row).or_default().add(cell);
     }
-    let head: Vec<String> = Cell::default().columns().iter().map(|(name, _)| format!("{name:>12}")).collect();
-    println!("{:12}{}", "", head.concat());
+    let header: Vec<String> =
+        Cell::default().columns().iter().map(|(name, _)| format!("{name:>12}")).collect();
+    println!("{:12}{}", "", header.concat());
     for (row, cell) in &rows {
-        let figures: Vec<String> = cell.columns().iter().map(|(_, n)| format!("{n:>12}")).collect();
-        println!("{row:12}{}", figures.concat());
+        let values: Vec<String> = cell.columns().iter().map(|(_, n)| format!("{n:>12}")).collect();
+        println!("{row:12}{}", values.concat());
     }
     println!("{} forwarders, {} messages, {} delivered", logs.len(), counts.messages, counts.delivered);
     counts.suspected_totals.iter().for_each(|(what, n)| println!("{n} {what}"));
@@ -540,79 +550,86 @@
     ledger: bool,
     beside: Option<PathBuf>,
 ) -> io::Result<bool> {
-    let program = program(None)?;
-    let bar = bar(scenes.len() as u64, "scenes");
+    let program = program_path(None)?;
+    let bar = progress_bar(scenes.len() as u64, "scenes");
     let count = scenes.len();
-    let (mut unclean, mut taken_on, mut late) = (0, 0, 0.0f64);
+    let (mut unclean, mut taken_on, mut max_lateness) = (0, 0, 0.0f64);
     let mut gaps: Vec<f64> = Vec::new();
-    let mut tell = |scene: &FleetScene, played: &FleetOutcome| {
+    let mut report = |scene: &FleetScene, outcome: &FleetOutcome| {
         bar.inc(1);
-        taken_on += played.taken_on;
-        late = late.max(played.lateness_ms);
+        taken_on += outcome.taken_on;
+        max_lateness = max_lateness.max(outcome.lateness_ms);
         if ledger {
-            for entry in &played.ledger {
+            for entry in &outcome.ledger {
                 println!("{:8.1} {}", entry.at, serde_json::to_string(&entry.event).unwrap_or_default());
             }
         }
-        if let (Some((limit, way)), Some((at, excess))) = (scene.limit, played.limit_use.excess) {
-            let LimitUse { used, calls, .. } = played.limit_use;
+        if let (Some((limit, sharing)), Some((at, excess))) = (scene.limit, outcome.limit_use.excess) {
+            let LimitUse { used, calls, .. } = outcome.limit_use;
             println!(
-                "{}: {calls} calls, {used:.2} of what {limit:.1} a second allow; {excess:.1} beyond it at {at:.0} ms",
+                "{}: {calls} calls, {used:.2} of the limit of {limit:.1} per second; largest excess {excess:.1} \
+                 at {at:.0} ms",
                 scene.name
             );
             for OutageReport {
                 dest,
-                calls_while_down: tried,
-                allowed_while_down: may,
+                calls_while_down,
+                allowed_while_down,
                 excess,
-                allowed_excess: beyond,
-                full_use_ms: full,
+                allowed_excess,
+                full_use_ms,
                 ..
-            } in &played.outages
+            } in &outcome.outages
             {
-                let full = full.map_or("never".to_owned(), |ms| format!("after {:.1} s", ms / 1000.0));
+                let full_use =
+                    full_use_ms.map_or("never".to_owned(), |ms| format!("after {:.1} s", ms / 1000.0));
                 println!(
-                    "  {dest}: {tried} calls while it was down ({may:.0} may be), {excess:.1} beyond what it bore when it was back ({beyond:.0} may be), full use {full}"
+                    "  {dest}: {calls_while_down} calls while down (allowed {allowed_while_down:.0}), \
+                     {excess:.1} beyond its capacity during warm-up (allowed {allowed_excess:.0}), \
+                     full use {full_use}"
                 );
             }
-            if way != Sharing::Rights && played.rule_breaches.is_empty() && played.crashed.is_empty() {
+            if sharing != Sharing::Rights && outcome.rule_breaches.is_empty() && outcome.crashed.is_empty() {
                 return;
             }
         }
-        gaps.extend(vacancies(&played.ledger));
-        if !played.is_clean() {
+        gaps.extend(vacancies(&outcome.ledger));
+        if !outcome.is_clean() {
             unclean += 1;
-            println!("{} ({:.0} ms late):", scene.name, played.lateness_ms);
-            played.breaches.iter().take(3).for_each(|b| println!("  {b}"));
-            played.rule_breaches.iter().take(3).for_each(|(n, b)| println!("  {n}: {b}"));
-            played.crashed.iter().for_each(|c| println!("  {c}"));
+            println!("{} ({:.0} ms late):", scene.name, outcome.lateness_ms);
+            outcome.breaches.iter().take(3).for_each(|b| println!("  {b}"));
+            outcome.rule_breaches.iter().take(3).for_each(|(n, b)| println!("  {n}: {b}"));
+            outcome.crashed.iter().for_each(|c| println!("  {c}"));
         }
     };
     let mut programs = vec![program.as_path()];
     programs.extend(beside.as_deref());
-    play_scenes(scenes, &programs, jobs, &mut tell).await?;
+    play_scenes(scenes, &programs, jobs, &mut report).await?;
     bar.finish_and_clear();
     gaps.sort_by(f64::total_cmp);
-    if let (Some(median), Some(most)) = (gaps.get(gaps.len() / 2), gaps.last()) {
-        let terms = gaps.len();
+    if let (Some(median), Some(max)) = (gaps.get(gaps.len() / 2), gaps.last()) {
+        let changes = gaps.len();
         println!(
-            "{terms} changes of a duty's holder: nobody held it for {median:.0} ms in the median, {most:.0} ms at most"
+            "{changes} changes of a duty's holder: vacant for {median:.0} ms (median), {max:.0} ms (maximum)"
         );
     }
-    println!("{count} scenes, {unclean} not clean; {taken_on} messages taken on, {late:.0} ms late at most");
+    println!(
+        "{count} scenes, {unclean} not clean; {taken_on} messages taken on, \
+         rig clocks at most {max_lateness:.0} ms late"
+    );
     Ok(unclean == 0)
 }
 
-/// When each process's standing, view or part of what all share changed.
-fn changes(played: &FleetOutcome) {
+/// Prints when the standing, the view, or the share of the limits changed at each process.
+fn print_changes(outcome: &FleetOutcome) {
     let mut last: BTreeMap<usize, (String, usize, usize)> = BTreeMap::new();
-    for entry in &played.ledger {
+    for entry in &outcome.ledger {
         let yarrowhill_checker::FleetEvent::Claimed(claim) = &entry.event else { continue };
         let now = (claim.standing.clone(), claim.members.len(), claim.senders);
         if last.get(&claim.process) != Some(&now) {
-            let (standing, there, senders) = &now;
+            let (standing, members, senders) = &now;
             println!(
-                "{:7.2} s  {}: {standing}, {there} in its view, limits shared by {senders}",
+                "{:7.2} s  {}: {standing}, {members} members in its view, limits shared by {senders}",
                 entry.at / 1000.0,
                 claim.process
             );
--- a/crates/rig/src/bugs.rs
+++ b/crates/rig/src/bugs.rs
@@ -1,5 +1,5 @@
-//! Planted bugs (mutation testing). Each is a small patch kept with the rig, so that the product's sources contain no
-//! trace of it. Clean runs are evidence only if the rig catches each of these bugs.
+//! Planted bugs (mutation testing). Each is a small patch kept with the rig, so that the product's sources
+//! contain no trace of it. Clean runs are evidence only if the rig catches each of these bugs.
 
 use crate::fleet::{FleetAct, FleetScene, Sharing, StateFolder, outage_scenes};
 use crate::load::Load;
@@ -32,7 +32,8 @@
 bugs! {
     /// An answer is accepted after the deadline of a message in the call.
     AcceptLateAnswer = "believe-an-answer-after-its-time",
-    /// Anything received on a connection counts as a delivery, even a duplicate or the rest of another answer.
+    /// Anything received on a connection counts as a delivery, even a duplicate or the rest of another
+    /// answer.
     AcceptDuplicateAnswer = "believe-a-second-copy",
     /// Calls start and clients are answered before the journal is written, which happens one turn late.
     SendBeforeJournal = "send-before-the-journal",
@@ -66,7 +67,7 @@
     AcceptOldIncarnation = "believe-an-old-incarnation",
     /// Members that are considered dead count as present.
     CountDeadAsPresent = "count-the-dead-as-there",
-    /// Every observed state becomes the view at once, without the settling time.
+    /// Every observed state becomes the view at once, whether it is stable or not.
     PublishUnsettledView = "let-a-flicker-through",
     /// Half of the voters, rounded down, counts as a majority.
     AcceptHalfAsMajority = "take-half-for-a-majority",
@@ -111,8 +112,9 @@
         Bug::ALL.iter().copied().find(|bug| bug.name() == name)
     }
 
-    /// Returns whether the bug is in a package without I/O: then `attack` must catch it too, without any process. This
-    /// excludes [`Bug::IgnoreSharedWaits`], as only the gate enforces the waits that other members report.
+    /// Returns whether the bug is in a package without I/O: then `attack` must catch it too, without any
+    /// process. This excludes [`Bug::IgnoreSharedWaits`], as only the gate enforces the waits that other
+    /// members report.
     pub fn is_in_io_free_package(self) -> bool {
         self.is_in_outages()
             || self.is_in_duties()
@@ -140,7 +142,8 @@
         use FleetAct::{Islands, Stall, Weather};
         let slow_links = crate::fleet::LinkQuality { delay_ms: 120.0, ..Default::default() };
         let acts: Vec<_> = match self {
-            // Cuts off each process in turn, and so the holders, while each direction takes a quarter of a lease.
+            // Cuts off each process in turn, and so the holders, while each direction takes a quarter of a
+            // lease.
             Bug::LeaseFromArrival => {
                 let cut = |n: usize| Islands((0..3).map(|m| usize::from(m == n)).collect());
                 let cuts = (0..9).map(|n| (6000.0 + 2500.0 * n as f64, cut(n % 3)));
@@ -154,8 +157,8 @@
         Some(FleetScene { duties: 3, rate: 4.0, ..FleetScene::new(self.name(), 3, acts) })
     }
 
-    /// Returns the fleet scene that must show a bug of shared limits: four processes lend to a busy one, and then the
-    /// traffic moves to them.
+    /// Returns the fleet scene that must show a bug of shared limits: four processes lend to a busy one, and
+    /// then the traffic moves to them.
     fn limit_scene(self) -> Option<FleetScene> {
         use FleetAct::{Busy, Kill, Start, Weather};
         let slow_links = crate::fleet::LinkQuality { delay_ms: 500.0, ..Default::default() };
@@ -223,8 +226,8 @@
         Some(FleetScene::new(self.name(), 3, acts))
     }
 
-    /// Returns what is played for this bug: a run whose only faults are those that the bug mishandles, placed where it
-    /// must show. The seed varies traffic and timing.
+    /// Returns what is played for this bug: a run whose only faults are those that the bug mishandles, placed
+    /// where it must show. The seed varies traffic and timing.
     pub fn scene(self, seed: u64) -> Scene {
         if let Some(scene) = self.duty_scene() {
             return Scene::Fleet(FleetScene { seed, ..scene });
--- a/crates/rig/src/count.rs
+++ b/crates/rig/src/count.rs
@@ -1,6 +1,7 @@
-//! Statistics over the logs that the forwarders of a fleet wrote with `YARROWHILL_LOG=debug`: messages taken, sent,
-//! written, ended, given up and refused, by forwarder, destination and second, and messages that seem to break a rule.
-//! Logs are read line by line, one after another; of each message only what the rules need is kept in memory.
+//! Statistics over the logs that the forwarders of a fleet wrote with `YARROWHILL_LOG=debug`: messages taken,
+//! sent, written, ended, given up and refused, by forwarder, destination and second, and messages that seem
+//! to break a rule. Logs are read line by line, one after another; of each message only what the rules need
+//! is kept in memory.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
@@ -100,7 +101,8 @@
     pub suspected_breaches: Vec<SuspectedBreach>,
     /// Number of suspected breaches by rule, including those beyond the maximum that is listed.
     pub suspected_totals: BTreeMap<&'static str, u64>,
-    /// Logs that are missing, empty, truncated, or contain unrecognized lines; their remaining lines are counted.
+    /// Logs that are missing, empty, truncated, or contain unrecognized lines; their remaining lines are
+    /// counted.
     pub log_errors: Vec<(PathBuf, String)>,
 }
 
@@ -334,8 +336,8 @@
 }
 
 impl<'a> Line<'a> {
-    /// Parses a line such as `2026-12-01T20:00:00.123456Z DEBUG sent id=a attempt=0 dest=7`. One word before the time
-    /// stamp is skipped, as log collectors add one to each line.
+    /// Parses a line such as `2026-12-01T20:00:00.123456Z DEBUG sent id=a attempt=0 dest=7`. One word before
+    /// the time stamp is skipped, as log collectors add one to each line.
     fn parse(text: &'a str) -> Option<Self> {
         let (first, after) = text.split_once(' ')?;
         let stamped = |stamp: &str| humantime::parse_rfc3339(stamp).ok();
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -1,4 +1,5 @@
-//! Plays a scene: injects its faults, polls what every process reports over its control socket, and judges the ledger.
+//! Plays a scene: injects its faults, polls what every process reports over its control socket, and judges
+//! the ledger.
 
 use super::processes::{FAIL_BACK, FIRST_DEST, Fleet, Member, draw_class, rule_params};
 use super::relay::LinkQuality;
@@ -25,11 +26,11 @@
 
 /// Pause between two queries of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum time (ms) until a process detects an outage by its own calls, which takes three failures in a row. Messages
-/// expire after 2 s, and calls that get no answer end with them.
+/// Maximum time (ms) until a process detects an outage by its own calls, which takes three failures in a row.
+/// Messages expire after 2 s, and calls that get no answer end with them.
 const MAX_DETECTION_MS: f64 = 4000.0;
-/// Interval of the calls to a destination that is down, in periods. One call is made in each turn; a turn is the shortest
-/// goal time or two periods, and other members observe the call one period later.
+/// Interval of the calls to a destination that is down, in periods. One call is made in each turn; a turn is
+/// the shortest goal time or two periods, and other members observe the call one period later.
 const PROBE_PERIODS: f64 = 2.0;
 /// Timeout of a query over the control socket; only a paused process takes longer.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -92,8 +93,8 @@
     }
 }
 
-/// Plays a scene with the real program, with `folder` as its working folder. Several programs are assigned to the
-/// processes in turn, which tests that builds of two versions work together.
+/// Plays a scene with the real program, with `folder` as its working folder. Several programs are assigned to
+/// the processes in turn, which tests that builds of two versions work together.
 ///
 /// # Errors
 ///
@@ -252,9 +253,9 @@
     Ok(())
 }
 
-/// Returns the bounds that the protocol guarantees, derived from the period. Detection takes one round of probes, the
-/// longest suspicion (four times the shortest, which is three periods times a logarithm of the size) and two lost probes.
-/// Agreement takes the settling time and the hold-down of members that flapped.
+/// Returns the bounds that the protocol guarantees, derived from the period. Detection takes one round of
+/// probes, the longest suspicion (four times the shortest, which is three periods times a logarithm of the
+/// size) and two lost probes. Agreement takes the settling time and the hold-down of members that flapped.
 fn fleet_params(scene: &FleetScene, lateness_ms: f64) -> FleetParams {
     let period = scene.period_ms as f64;
     let known = (scene.size as f64 + 18.0) * period;
@@ -263,8 +264,8 @@
     // Poor local health extends a probe to four periods at most.
     let known_few = (4.0 * scene.size as f64 + 18.0) * period;
     let (agreed, forgotten) = (12.0 * period, DUPLICATE_EXPIRY_PERIODS * period);
-    // A wait of at least a quarter of the warm-up time is that of a closed destination. It is reported to three members
-    // in each quarter of a period, and a packet may be lost.
+    // A wait of at least a quarter of the warm-up time is that of a closed destination. It is reported to
+    // three members in each quarter of a period, and a packet may be lost.
     let (long_wait, spread) = (FAIL_BACK[3] / 4.0, 4.0 * period);
     let cold = ColdStart {
         // Three of a member's own calls in a row time out, and then its finding spreads.
@@ -637,8 +638,8 @@
     serde_json::from_slice::<Value>(text).ok()?["boot"].as_u64()
 }
 
-/// Queries what a process claims about itself and the fleet. This parses the answer independently of the program's own
-/// client, so that a fault of that client cannot hide one of the program.
+/// Queries what a process claims about itself and the fleet. This parses the answer independently of the
+/// program's own client, so that a fault of that client cannot hide one of the program.
 async fn query_claim(process: usize, size: usize, control: &Path) -> Option<Claim> {
     let answer = query(control, "{\"ask\":\"members\"}\n").await?;
     let permits = &answer["permits"];
--- a/crates/rig/src/fleet/processes.rs
+++ b/crates/rig/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a scene: their folders, configurations and fleet documents, the stand-ins of each, and the
-//! simulated network between them.
+//! The processes of a scene: their folders, configurations and fleet documents, the stand-ins of each, and
+//! the simulated network between them.
 
 use super::relay::{Relay, ReverseRelay};
 use super::scene::{FleetAct, FleetScene, Sharing, StateFolder};
@@ -27,7 +27,8 @@
 const KEY_TTL_MS: f64 = 1200.0;
 /// Number of the first of the two destinations.
 pub(super) const FIRST_DEST: u64 = 10;
-/// Limits on calls to a recovered destination: overload multiple and its duration (ms), initial capacity, warm-up (ms).
+/// Limits on calls to a recovered destination: overload multiple and its duration (ms), initial capacity,
+/// warm-up (ms).
 pub(super) const FAIL_BACK: [f64; 4] = [2.0, 600.0, 0.17, 2000.0];
 
 /// A process of the fleet with its own destinations, discovery, and ledger of its messages.
@@ -45,9 +46,9 @@
 /// All processes and the relays between them.
 pub(super) struct Fleet {
     pub(super) members: Vec<Member>,
-    /// Address at which each process listen_addrs for the others.
+    /// Address at which each process listens for the others.
     listen_addrs: Vec<SocketAddr>,
-    /// Address at which a duplicate of each process listen_addrs, in scenes that have one.
+    /// Address at which a duplicate of each process listens, in scenes that have one.
     duplicate_addrs: Vec<Option<SocketAddr>>,
     roster: Roster,
     /// Relays by sender and receiver; none from a process to itself.
@@ -76,7 +77,8 @@
     let [fall_multiple, fall_for, start_capacity, warm_after] = FAIL_BACK;
     RuleParams {
         classes: classes.into_iter().map(|(name, effect)| (name.to_owned(), effect)).collect(),
-        // An answer passes a process and a stand-in, and each may have been as late as the rig's own clocks were.
+        // An answer passes a process and a stand-in, and each may have been as late as the rig's own clocks
+        // were.
         clock_slack_ms: defaults.clock_slack_ms + 2.0 * lateness_ms,
         overload_multiple: fall_multiple,
         overload_for_ms: fall_for,
@@ -155,8 +157,8 @@
         Ok(Fleet { members, listen_addrs, duplicate_addrs, roster, relays, reverse_relays, network })
     }
 
-    /// Returns the identity files with the numbers of their processes: first those of all processes in order, then those
-    /// of the duplicates.
+    /// Returns the identity files with the numbers of their processes: first those of all processes in order,
+    /// then those of the duplicates.
     pub(super) fn identities(&self) -> Vec<(usize, PathBuf)> {
         let own = self.members.iter().map(Member::identity_path).enumerate();
         let duplicates = (0..self.members.len()).filter(|n| self.duplicate_addrs[*n].is_some());
@@ -167,7 +169,8 @@
         self.members[n].process.folder().with_extension("twin")
     }
 
-    /// Starts a duplicate: a second process under the name of process `n`. The other members reach both at one address.
+    /// Starts a duplicate: a second process under the name of process `n`. The other members reach both at
+    /// one address.
     pub(super) async fn start_duplicate(
         &self,
         scene: &FleetScene,
@@ -182,12 +185,13 @@
             document(scene.period_ms, &self.roster, listen, &self.relays[n]),
         )?;
         let seed = scene.seed << 8 | 0x80 | n as u64;
-        // One of the two must stay silent and never becomes ready, which may be this one: so this does not wait.
+        // One of the two must stay silent and never becomes ready, which may be this one: so this does not
+        // wait.
         Member::start(n, scene.size, program, &folder, seed, None, false).await
     }
 
-    /// Writes the next roster version to all documents, also those of stopped processes: a joint step to the members
-    /// `next`, or, with `None`, the present members alone.
+    /// Writes the next roster version to all documents, also those of stopped processes: a joint step to the
+    /// members `next`, or, with `None`, the present members alone.
     pub(super) fn advance_roster(&mut self, scene: &FleetScene, next: Option<&[usize]>) -> io::Result<()> {
         let Roster { version, members, limit, duties, .. } = self.roster.clone();
         let version = version + 1;
@@ -252,8 +256,8 @@
             |n: &usize| format!("{indent}member \"n{n}\" address=\"{}\" zone=\"z{}\"\n", at(*n), n % 3);
         of.iter().map(line).collect()
     };
-    // Without shared rights each process also handles outages on its own. In other scenes the property is left out, as
-    // older builds do not know it.
+    // Without shared rights each process also handles outages on its own. In other scenes the property is
+    // left out, as older builds do not know it.
     let apart = roster.limit.is_some_and(|(_, sharing)| sharing != Sharing::Rights);
     let returns = if apart { " returns=#false" } else { "" };
     let mut text =
@@ -341,8 +345,8 @@
         self.process.folder().join("state/duties")
     }
 
-    /// Makes writes of the identity and register files fail, or succeed again: a folder in place of the temporary file
-    /// makes its creation fail.
+    /// Makes writes of the identity and register files fail, or succeed again: a folder in place of the
+    /// temporary file makes its creation fail.
     pub(super) fn set_disk_full(&self, full: bool) -> io::Result<()> {
         for obstacle in
             [self.identity_path().with_extension("new"), self.registers_path().with_extension("duties-new")]
@@ -355,8 +359,8 @@
         Ok(())
     }
 
-    /// Restarts the process with the given state of its folder. The journal is kept in every case: these scenes test
-    /// lost identities, not lost messages.
+    /// Restarts the process with the given state of its folder. The journal is kept in every case: these
+    /// scenes test lost identities, not lost messages.
     pub(super) fn restart(&mut self, with: StateFolder) -> io::Result<()> {
         self.record_state_files();
         match with {
--- a/crates/rig/src/fleet/relay.rs
+++ b/crates/rig/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! The network between two processes. A relay is one direction of it: a socket that receives what one process sends,
-//! and forwards it to the other from the address under which that one knows the sender.
+//! The network between two processes. A relay is one direction of it: a socket that receives what one process
+//! sends, and forwards it to the other from the address under which that one knows the sender.
 
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -30,7 +30,8 @@
     /// Minimum latency (ms).
     #[serde(rename = "delay")]
     pub delay_ms: f64,
-    /// Mean of the random latency that is added (ms, exponentially distributed), so that packets are reordered.
+    /// Mean of the random latency that is added (ms, exponentially distributed), so that packets are
+    /// reordered.
     #[serde(rename = "jitter")]
     pub jitter_ms: f64,
     /// Whether the direction is cut: packets are lost and connections stall.
@@ -149,8 +150,8 @@
         arrivals
     }
 
-    /// Forwards packets and connections to the receivers, from the address of the reverse direction, until the task is
-    /// aborted.
+    /// Forwards packets and connections to the receivers, from the address of the reverse direction, until
+    /// the task is aborted.
     pub(super) async fn run(self, tcp: TcpListener, to: Vec<SocketAddr>, reverse: ReverseRelay) {
         let mut connections = JoinSet::new();
         let permits = Arc::new(tokio::sync::Semaphore::new(MAX_QUEUED_PACKETS));
@@ -182,7 +183,8 @@
                     while connections.try_join_next().is_some() {}
                     if connections.len() < MAX_CONNECTIONS {
                         self.counts.connections.fetch_add(1, Ordering::Relaxed);
-                        connections.spawn(forward_connection(stream, to.clone(), self.clone(), current(&reverse)));
+                        let reverse = current(&reverse);
+                        connections.spawn(forward_connection(stream, to.clone(), self.clone(), reverse));
                     }
                 }
             }
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -17,8 +17,8 @@
     Old,
 }
 
-/// An act of a scene: a fault, or another change. Processes are numbered from 0. The variants have the names of the
-/// KDL nodes; durations and intervals are in milliseconds.
+/// An act of a scene: a fault, or another change. Processes are numbered from 0. The variants have the names
+/// of the KDL nodes; durations and intervals are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum FleetAct {
     /// Cuts the direction from the first process to the second.
@@ -51,7 +51,8 @@
     Disk(usize, bool),
     /// Runs a duplicate under the name of a process, with its own folder, for this duration.
     Twin(usize, f64),
-    /// Starts a joint roster step: all documents name these members beside the previous ones, and all processes reload.
+    /// Starts a joint roster step: all documents name these members beside the previous ones, and all
+    /// processes reload.
     Joint(Vec<usize>),
     /// Completes the joint step: all documents name the new members alone, and all processes reload.
     Settle,
@@ -59,7 +60,8 @@
     Move(usize),
     /// Sets the limit in all documents (calls per second to each destination), and all processes reload.
     Limit(f64),
-    /// Closes a destination of one process, the first (0) or second (1), for this duration; refusals return a wait.
+    /// Closes a destination of one process, the first (0) or second (1), for this duration; refusals return a
+    /// wait.
     Shut(usize, usize, f64),
     /// Directs the largest share of the traffic to this process.
     Busy(usize),
@@ -67,7 +69,8 @@
     Yield(usize),
     /// Sends an operator request to the first process to pin the first duty to the second process.
     Pin(usize, usize),
-    /// The first (0) or second (1) destination of all processes answers nothing for this duration, and recovers cold.
+    /// The first (0) or second (1) destination of all processes answers nothing for this duration, and
+    /// recovers cold.
     Down(usize, f64),
 }
 
@@ -76,8 +79,8 @@
 pub enum Sharing {
     /// By rights that they lend and borrow.
     Rights,
-    /// By rights that they lend and borrow; but each process detects outages by its own calls alone, and recovers from
-    /// them independently.
+    /// By rights that they lend and borrow; but each process detects outages by its own calls alone, and
+    /// recovers from them independently.
     Apart,
     /// Each process has a fixed, equal share.
     Even,
@@ -116,7 +119,8 @@
     pub busy_share: Option<f64>,
 }
 
-/// Default probe period (ms). It is short, so that scenes are short, and long compared with scheduling delays.
+/// Default probe period (ms). It is short, so that scenes are short, and long compared with scheduling
+/// delays.
 const DEFAULT_PERIOD_MS: u64 = 150;
 /// Number of periods after the last act until a scene ends, so that all processes can agree on a view.
 pub(super) const SETTLE_PERIODS: f64 = 60.0;
@@ -158,8 +162,8 @@
         }
     }
 
-    /// Draws the scene of a seed with a limit that all processes share. The demand exceeds the limit, and a third of it
-    /// goes to one process.
+    /// Draws the scene of a seed with a limit that all processes share. The demand exceeds the limit, and a
+    /// third of it goes to one process.
     pub fn draw_with_limit(seed: u64) -> Self {
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0x11a1f);
@@ -181,11 +185,15 @@
         let mut scene = FleetScene::draw(seed);
         let mut rng = Rng::seed_from_u64(seed ^ 0xd071e5);
         for (_, act) in &mut scene.acts {
-            let one = rng.random_range(0..scene.size);
+            let process = rng.random_range(0..scene.size);
             // Replaces floods and idle connections, which do not concern duties.
             if matches!(act, FleetAct::Flood(..) | FleetAct::Crowd(..)) {
                 let other = rng.random_range(0..scene.size);
-                *act = if rng.random_bool(0.5) { FleetAct::Yield(one) } else { FleetAct::Pin(one, other) };
+                *act = if rng.random_bool(0.5) {
+                    FleetAct::Yield(process)
+                } else {
+                    FleetAct::Pin(process, other)
+                };
             }
         }
         scene.duties = 2;
@@ -203,11 +211,11 @@
         let mut dead = std::collections::BTreeSet::new();
         let mut at = rng.random_range(5.0..15.0) * period;
         for _ in 0..rng.random_range(3..9) {
-            let one = rng.random_range(0..size);
-            let other = (one + rng.random_range(1..size)) % size;
+            let process = rng.random_range(0..size);
+            let other = (process + rng.random_range(1..size)) % size;
             let act = match rng.random_range(0..13) {
-                0 => FleetAct::Cut(one, other),
-                1 => FleetAct::Part(one, other),
+                0 => FleetAct::Cut(process, other),
+                1 => FleetAct::Part(process, other),
                 2 | 3 => FleetAct::Islands((0..size).map(|_| rng.random_range(0..2)).collect()),
                 4 => FleetAct::Weather(LinkQuality {
                     loss: rng.random_range(0.0..0.15),
@@ -216,22 +224,24 @@
                     jitter_ms: rng.random_range(0.0..period / 10.0),
                     ..LinkQuality::default()
                 }),
-                5 => FleetAct::Link(one, other, LinkQuality { half_open: true, ..LinkQuality::default() }),
+                5 => {
+                    FleetAct::Link(process, other, LinkQuality { half_open: true, ..LinkQuality::default() })
+                }
                 6 => FleetAct::Heal,
-                7 | 8 => FleetAct::Stall(one, rng.random_range(1.0..40.0) * period),
-                9 => FleetAct::Flap(one, 4.0 * period, 30.0 * period),
-                _ if dead.remove(&one) => {
+                7 | 8 => FleetAct::Stall(process, rng.random_range(1.0..40.0) * period),
+                9 => FleetAct::Flap(process, 4.0 * period, 30.0 * period),
+                _ if dead.remove(&process) => {
                     let folders =
                         [StateFolder::Kept, StateFolder::Kept, StateFolder::Emptied, StateFolder::Old];
-                    FleetAct::Start(one, folders[rng.random_range(0..4)])
+                    FleetAct::Start(process, folders[rng.random_range(0..4)])
                 }
                 10 => {
-                    dead.insert(one);
-                    FleetAct::Terminate(one)
+                    dead.insert(process);
+                    FleetAct::Terminate(process)
                 }
                 _ => {
-                    dead.insert(one);
-                    FleetAct::Kill(one)
+                    dead.insert(process);
+                    FleetAct::Kill(process)
                 }
             };
             acts.push((at, act));
@@ -525,7 +535,8 @@
     ]
 }
 
-/// Returns the directed scenes of duties, of which each has one holder at a time. A lease lasts three periods.
+/// Returns the directed scenes of duties, of which each has one holder at a time. A lease lasts three
+/// periods.
 pub fn duty_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = DEFAULT_PERIOD_MS as f64;
@@ -623,7 +634,8 @@
     ]
 }
 
-/// Returns the directed scenes of destinations that are down for all processes and recover cold, under a shared limit.
+/// Returns the directed scenes of destinations that are down for all processes and recover cold, under a
+/// shared limit.
 pub fn outage_scenes() -> Vec<FleetScene> {
     use FleetAct::*;
     let p = DEFAULT_PERIOD_MS as f64;
@@ -666,8 +678,8 @@
     ]
 }
 
-/// A process restarts with an empty folder while it is cut off. When the others can reach it again it needs a higher
-/// boot number, which it cannot store for some time.
+/// A process restarts with an empty folder while it is cut off. When the others can reach it again it needs a
+/// higher boot number, which it cannot store for some time.
 fn no_disk(p: f64) -> Vec<(f64, FleetAct)> {
     use FleetAct::*;
     vec![
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,11 +1,13 @@
-//! The fault-injection rig. A seed determines a [`Script`]; the script is played on loopback against the real program,
-//! and the checker judges the ledger of all stand-ins by the six rules.
+//! The fault-injection rig. A seed determines a [`Script`]; the script is played on loopback against the real
+//! program, and the checker judges the ledger of all stand-ins by the six rules.
 //!
-//! - `script`, `play`, `sweep`: drawing a script from a seed, playing one script, and playing many in parallel
+//! - `script`, `play`, `sweep`: drawing a script from a seed, playing one script, and playing many in
+//!   parallel
 //! - `load`: load generation over persistent connections
 //! - `count`: statistics over the debug logs of several forwarders
 //! - `fleet`: chaos scenes over several processes that form a fleet
-//! - `bugs`, `scratch`: planted bugs as patches (mutation testing), and builds of the program with one applied
+//! - `bugs`, `scratch`: planted bugs as patches (mutation testing), and builds of the program with one
+//!   applied
 //!
 //! ```
 //! use yarrowhill_rig::Script;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,4 +1,5 @@
-//! Load generation: many messages per second over persistent connections, some of them submitted again under the same id.
+//! Load generation: many messages per second over persistent connections, some of them submitted again under
+//! the same id.
 
 use crate::play::{RunOutcome, StandIns, ms, start_stand_ins, watch_clock};
 use crate::script::Dest;
@@ -42,8 +43,8 @@
     pub duration_secs: f64,
     /// Number of clients, each with a persistent connection.
     pub clients: usize,
-    /// Share of the messages of the class that must not be repeated which are submitted again one second after they
-    /// were taken on, under the same id and with the remaining time.
+    /// Share of the messages of the class that must not be repeated which are submitted again one second
+    /// after they were taken on, under the same id and with the remaining time.
     #[serde(rename = "again")]
     pub resubmit_share: f64,
     /// Time from submission to the deadline of a message (ms).
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -1,4 +1,5 @@
-//! Plays a script: starts stand-ins and the program, generates traffic, injects the faults, and judges the ledger.
+//! Plays a script: starts stand-ins and the program, generates traffic, injects the faults, and judges the
+//! ledger.
 
 use crate::script::{Act, Dest, Script};
 use rand::{RngExt, SeedableRng};
@@ -231,7 +232,8 @@
                 self.config["discovery"] = replica.addr.to_string().into();
                 self.process.reload(&self.config).await?;
                 let old = std::mem::replace(&mut self.discovery, replica);
-                // The old discovery closes its connections only after 1.5 s, as the platform's closes them late.
+                // The old discovery closes its connections only after 1.5 s, as the platform's closes them
+                // late.
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(1500)).await;
                     drop(old);
@@ -257,8 +259,8 @@
         Ok(())
     }
 
-    /// Restarts the process without the environment variable `without`. As on the platform, its configuration contains
-    /// the endpoint list that the previous process had last.
+    /// Restarts the process without the environment variable `without`. As on the platform, its configuration
+    /// contains the endpoint list that the previous process had last.
     async fn restart(&mut self, without: &str) -> io::Result<()> {
         let (rev, lines) = (self.discovery.rev(), self.discovery.lines());
         let known: Vec<EndpointLine> = lines.into_iter().filter(|l| l.state != "terminated").collect();
@@ -376,7 +378,8 @@
     std::fs::write(path, text)
 }
 
-/// Measures by how much timers of this process fire late, and stores the maximum (ms, as the bits of an `f64`).
+/// Measures by how much timers of this process fire late, and stores the maximum (ms, as the bits of an
+/// `f64`).
 pub(crate) async fn watch_clock(max_lateness: Arc<AtomicU64>) {
     let step = Duration::from_millis(10);
     let mut worst: f64 = 0.0;
--- a/crates/rig/src/scratch.rs
+++ b/crates/rig/src/scratch.rs
@@ -1,4 +1,5 @@
-//! Builds the program with a planted bug: copies the workspace to a scratch folder, applies the patch, and builds there.
+//! Builds the program with a planted bug: copies the workspace to a scratch folder, applies the patch, and
+//! builds there.
 
 use crate::bugs::Bug;
 use std::collections::BTreeMap;
@@ -44,7 +45,8 @@
     here.ancestors().nth(2).unwrap_or(here).to_path_buf()
 }
 
-/// Returns the files that a bug's patch changes, by path, with their contents after the patch. Writes nothing.
+/// Returns the files that a bug's patch changes, by path, with their contents after the patch. Writes
+/// nothing.
 ///
 /// # Errors
 ///
@@ -80,8 +82,8 @@
     parts
 }
 
-/// The scratch copy of the workspace, locked by one process at a time. Only files that differ from the previous build
-/// are written, so that builds are incremental.
+/// The scratch copy of the workspace, locked by one process at a time. Only files that differ from the
+/// previous build are written, so that builds are incremental.
 #[derive(Debug)]
 pub struct ScratchBuild {
     folder: PathBuf,
@@ -156,8 +158,8 @@
         Ok(to)
     }
 
-    /// Makes the source tree contain exactly these files. Only files that differ are written, so that builds are
-    /// incremental.
+    /// Makes the source tree contain exactly these files. Only files that differ are written, so that builds
+    /// are incremental.
     fn sync_tree(&self, texts: Vec<(PathBuf, Vec<u8>)>) -> Result<(), ScratchBuildError> {
         let tree = self.folder.join("tree");
         for (name, text) in &texts {
@@ -180,8 +182,8 @@
         Ok(())
     }
 
-    /// Runs `attack` against a bug of a package without I/O, in the tree of the last [`ScratchBuild::build`], and
-    /// returns the first line that reports a breach, if the bug is caught.
+    /// Runs `attack` against a bug of a package without I/O, in the tree of the last [`ScratchBuild::build`],
+    /// and returns the first line that reports a breach, if the bug is caught.
     ///
     /// # Errors
     ///
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -85,7 +85,8 @@
     pub dests: Vec<Dest>,
     /// Faults with their times from the start of the run (ms), in order.
     pub acts: Vec<(f64, Act)>,
-    /// Shares of clients that time out early, that abort midway through the request, and that send duplicates.
+    /// Shares of clients that time out early, that abort midway through the request, and that send
+    /// duplicates.
     #[serde(rename = "clients")]
     pub client_faults: [f64; 3],
     /// Fault point at which the process exits, and the number of times that it is reached until then.
@@ -190,7 +191,8 @@
     /// Returns the script with another number of shards.
     pub fn with_shards(self, shards: usize) -> Self {
         let before_rename = Point::BeforeRename.name();
-        // Each segment of a new layout is renamed into place once before the program is ready for the first time.
+        // Each segment of a new layout is renamed into place once before the program is ready for the first
+        // time.
         let exit_at = self.exit_at.map(|(point, nth)| {
             let segments = if point == before_rename && shards > 1 { shards as u64 } else { 0 };
             (point, nth + segments)
@@ -206,7 +208,8 @@
     /// Returns the time from the end of the traffic until all messages must have ended (ms).
     pub fn settle_ms(&self) -> f64 {
         let max_deadline = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
-        // A terminates termination may take 3.7 s, and open messages become overdue only some time after the restart.
+        // A terminates termination may take 3.7 s, and open messages become overdue only some time after the
+        // restart.
         let terminates = self.acts.iter().any(|(_, act)| *act == Act::Terminate);
         max_deadline + 600.0 + if terminates { 2000.0 } else { 0.0 }
     }
--- a/crates/rig/tests/fleet.rs
+++ b/crates/rig/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Several processes of the real program, with faults between them.
+//! Chaos scenes over several processes of the real program.
 //!
-//! More by command: `rig fleet --directed`, `rig fleet --seeds 200`.
+//! More scenes can be played by command: `rig fleet --directed`, `rig fleet --seeds 200`.
 
 use std::path::Path;
 use yarrowhill_rig::{
@@ -8,28 +8,29 @@
     outage_scenes, play_scenes,
 };
 
+/// Number of seeds without a limit and duties.
 const SEEDS: u64 = 30;
-/// Seeds under a limit that all share.
-const LIMITED: u64 = 10;
-/// Seeds with duties that one holds at a time.
-const DUTIFUL: u64 = 10;
-/// Scenes beside each other: they wait more than they work.
+/// Number of seeds with a shared limit.
+const LIMIT_SEEDS: u64 = 10;
+/// Number of seeds with duties.
+const DUTY_SEEDS: u64 = 10;
+/// Concurrent scenes; they are idle most of the time.
 const JOBS: usize = 10;
 
-/// A breach is a failure the first time.
+/// Every breach is a failure, even if it does not occur in a second run of the scene.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_processes_believe_and_do_holds_under_faults() {
+async fn keeps_fleet_rules_under_faults() {
     let program = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
     let mut scenes = [directed_scenes(), limit_scenes(), outage_scenes(), duty_scenes()].concat();
     scenes.extend((0..SEEDS).map(FleetScene::draw));
-    scenes.extend((0..LIMITED).map(FleetScene::draw_with_limit));
-    scenes.extend((0..DUTIFUL).map(FleetScene::draw_with_duties));
+    scenes.extend((0..LIMIT_SEEDS).map(FleetScene::draw_with_limit));
+    scenes.extend((0..DUTY_SEEDS).map(FleetScene::draw_with_duties));
     let count = scenes.len();
     let (mut unclean, mut taken_on) = (Vec::new(), 0);
-    let mut told = |scene: &FleetScene, played: &FleetOutcome| {
-        taken_on += played.taken_on;
-        if !played.is_clean() {
-            let FleetOutcome { breaches, rule_breaches, crashed, lateness_ms, .. } = played;
+    let mut report = |scene: &FleetScene, outcome: &FleetOutcome| {
+        taken_on += outcome.taken_on;
+        if !outcome.is_clean() {
+            let FleetOutcome { breaches, rule_breaches, crashed, lateness_ms, .. } = outcome;
             println!(
                 "{}: {breaches:#?} {rule_breaches:#?} {crashed:?}, {lateness_ms:.0} ms late",
                 scene.name
@@ -37,55 +38,55 @@
             unclean.push(scene.name.clone());
         }
     };
-    play_scenes(scenes, &[program], JOBS, &mut told).await.expect("the scenes can be played");
+    play_scenes(scenes, &[program], JOBS, &mut report).await.expect("the scenes can be played");
     assert!(unclean.is_empty(), "{unclean:?}");
-    // Rules that nothing is taken on under are kept by nobody.
+    // The rules are only tested if enough messages were taken on.
     assert!(taken_on > 60 * count, "{taken_on} messages taken on");
 }
 
-/// The first build that knew fleets: later ones must live beside it.
-const FIRST: &str = "25f5b39";
+/// The first commit with fleets: later builds must work together with it.
+const FIRST_FLEET_COMMIT: &str = "25f5b39";
 
-/// Processes of two versions, in turn, hold the same together as those of one.
+/// A fleet whose processes alternate between two versions keeps the same rules as one of a single version.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_versions_live_beside_each_other() {
-    let now = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
-    let before = {
-        let scratch = ScratchBuild::open().expect("a folder");
-        match scratch.build_commit(FIRST) {
-            Ok(before) => before,
-            // A copy of the repository without its history has nothing to play beside.
+async fn keeps_fleet_rules_with_two_versions() {
+    let current = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
+    let first = {
+        let scratch = ScratchBuild::open().expect("the scratch folder can be opened");
+        match scratch.build_commit(FIRST_FLEET_COMMIT) {
+            Ok(first) => first,
+            // A copy of the repository without its history cannot build the old version.
             Err(ScratchBuildError::Commit(commit)) => {
-                return println!("left out: {commit} is not in the history");
+                return println!("skipped: {commit} is not in the history");
             }
             Err(e) => panic!("{e}"),
         }
     };
-    let wanted = ["cut in two, four and five", "half die at once and others come", "one that leaves"];
+    let names = ["cut in two, four and five", "half die at once and others come", "one that leaves"];
     let scenes: Vec<FleetScene> =
-        directed_scenes().into_iter().filter(|scene| wanted.contains(&scene.name.as_str())).collect();
-    assert_eq!(scenes.len(), wanted.len());
+        directed_scenes().into_iter().filter(|scene| names.contains(&scene.name.as_str())).collect();
+    assert_eq!(scenes.len(), names.len());
     let mut unclean = Vec::new();
-    let mut told = |scene: &FleetScene, played: &FleetOutcome| {
-        if !played.is_clean() {
-            unclean.push(format!("{}: {:?} {:?}", scene.name, played.breaches, played.rule_breaches));
+    let mut report = |scene: &FleetScene, outcome: &FleetOutcome| {
+        if !outcome.is_clean() {
+            unclean.push(format!("{}: {:?} {:?}", scene.name, outcome.breaches, outcome.rule_breaches));
         }
     };
-    play_scenes(scenes, &[now, &before], JOBS, &mut told).await.expect("the scenes can be played");
+    play_scenes(scenes, &[current, &first], JOBS, &mut report).await.expect("the scenes can be played");
     assert!(unclean.is_empty(), "{unclean:#?}");
 }
 
-/// Plays beside each other in one process, as tests are, share no folder.
+/// Concurrent plays in one process, as in parallel tests, use separate folders.
 #[tokio::test(flavor = "multi_thread")]
-async fn plays_at_once_share_nothing() {
+async fn uses_separate_folders_for_concurrent_plays() {
     let program = Path::new(env!("CARGO_BIN_EXE_yarrowhill-faulty"));
     let play = || async {
         let mut clean = false;
-        let mut told = |_: &FleetScene, played: &FleetOutcome| clean = played.is_clean();
-        play_scenes(vec![FleetScene::new("calm", 3, Vec::new())], &[program], 1, &mut told)
+        let mut report = |_: &FleetScene, outcome: &FleetOutcome| clean = outcome.is_clean();
+        play_scenes(vec![FleetScene::new("calm", 3, Vec::new())], &[program], 1, &mut report)
             .await
             .map(|()| clean)
     };
-    let (one, other) = tokio::join!(play(), play());
-    assert!(one.expect("it can be played") && other.expect("it can be played"));
+    let (first, second) = tokio::join!(play(), play());
+    assert!(first.expect("the scene can be played") && second.expect("the scene can be played"));
 }
