--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -4,7 +4,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use std::collections::BTreeMap;
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use yarrowhill_checker::{LimitUse, OutageReport, Rule, vacancies};
 use yarrowhill_rig::{
@@ -227,6 +227,18 @@
     }
 }
 
+/// Reads and parses the document of a scene.
+fn read_scene(path: &Path) -> io::Result<FleetScene> {
+    let text = std::fs::read_to_string(path).map_err(|e| unreadable("scene", path, &e))?;
+    let invalid = |e| io::Error::other(format!("invalid scene {}: {e}", path.display()));
+    FleetScene::parse(&text).map_err(invalid)
+}
+
+/// Adds the path to the error of a file that cannot be read.
+fn unreadable(kind: &str, path: &Path, e: &io::Error) -> io::Error {
+    io::Error::new(e.kind(), format!("cannot read {kind} {}: {e}", path.display()))
+}
+
 fn progress_bar(len: u64, label: &str) -> ProgressBar {
     let style = ProgressStyle::with_template("{prefix} [{bar:40}] {pos}/{len} {msg}");
     let bar = ProgressBar::new(len).with_prefix(label.to_owned());
@@ -277,8 +289,7 @@
             None => Ok(print_counts(&logs, by)),
         },
         Command::Fleet { scene: Some(path), folder: Some(folder), ledger, show, .. } => {
-            let text = std::fs::read_to_string(path)?;
-            let scene = FleetScene::parse(&text).map_err(io::Error::other)?;
+            let scene = read_scene(&path)?;
             let acts = scene.acts.clone();
             if show {
                 tokio::spawn(async move {
@@ -324,8 +335,7 @@
         } => {
             let mut scenes = Vec::new();
             if let Some(path) = scene {
-                let text = std::fs::read_to_string(path)?;
-                scenes.push(FleetScene::parse(&text).map_err(io::Error::other)?);
+                scenes.push(read_scene(&path)?);
             }
             if directed {
                 scenes.extend(directed_scenes());
@@ -498,7 +508,8 @@
     let mut found = Vec::new();
     for log in logs {
         let name = log.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
-        for line in io::BufRead::split(io::BufReader::new(std::fs::File::open(log)?), b'\n') {
+        let file = std::fs::File::open(log).map_err(|e| unreadable("log", log, &e))?;
+        for line in io::BufRead::split(io::BufReader::new(file), b'\n') {
             let line = String::from_utf8_lossy(&line?).into_owned();
             if line.contains(message) {
                 found.push((line, name.clone()));
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -164,7 +164,7 @@
     for (from, to, relay) in fleet.links() {
         let counts = &relay.counts;
         let [packets, lost, connections] =
-            [&counts.carried, &counts.lost, &counts.connections].map(|c| c.load(Ordering::Relaxed));
+            [&counts.forwarded, &counts.lost, &counts.connections].map(|c| c.load(Ordering::Relaxed));
         ledger.write(FleetEvent::Traffic { from, to, packets, lost, connections });
     }
     watch.abort();
--- a/crates/rig/src/fleet/relay.rs
+++ b/crates/rig/src/fleet/relay.rs
@@ -60,7 +60,7 @@
 /// Traffic counters of one direction.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
-    pub(super) carried: AtomicU64,
+    pub(super) forwarded: AtomicU64,
     pub(super) lost: AtomicU64,
     pub(super) duplicated: AtomicU64,
     pub(super) connections: AtomicU64,
@@ -165,7 +165,7 @@
                             self.counts.lost.fetch_add(1, Ordering::Relaxed);
                             continue;
                         };
-                        self.counts.carried.fetch_add(1, Ordering::Relaxed);
+                        self.counts.forwarded.fetch_add(1, Ordering::Relaxed);
                         let from = current(&reverse).socket;
                         let (bytes, to) = (buffer[..length].to_vec(), to.clone());
                         tokio::spawn(async move {
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -89,7 +89,7 @@
     /// duplicates.
     #[serde(rename = "clients")]
     pub client_faults: [f64; 3],
-    /// Fault point at which the process exits, and the number of times that it is reached until then.
+    /// Fault point at which the process exits, and which time that it is reached (1 for the first).
     #[serde(rename = "die")]
     pub exit_at: Option<(String, u64)>,
     /// Maximum size of a file that the program writes (bytes).
