--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -578,8 +578,8 @@
         if let (Some((limit, sharing)), Some((at, excess))) = (scene.limit, outcome.limit_use.excess) {
             let LimitUse { used, calls, .. } = outcome.limit_use;
             println!(
-                "{}: {calls} calls, {used:.2} of the limit of {limit:.1} per second; largest excess {excess:.1} \
-                 at {at:.0} ms",
+                "{}: {calls} calls, {used:.2} of the limit of {limit:.1} per second; \
+                 largest excess {excess:.1} at {at:.0} ms",
                 scene.name
             );
             for OutageReport {
