--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,11 +1,13 @@
-//! The fault rig: a seed becomes a [`Script`], the script is played on loopback against the real program, and the
-//! ledger of all stand-ins is judged by the six rules.
+//! The fault-injection rig. A seed determines a [`Script`]; the script is played on loopback against the real
+//! program, and the checker judges the ledger of all stand-ins by the six rules.
 //!
-//! - `script`, `play`, `sweep`: what a seed draws, one run of it, many beside each other
-//! - `load`: many messages a second
-//! - `count`: what many forwarders' logs tell together
-//! - `fleet`: several processes that know each other, with faults between them
-//! - `bugs`, `scratch`: known bugs as patches, and the program built with one of them
+//! - `script`, `play`, `sweep`: drawing a script from a seed, playing one script, and playing many in
+//!   parallel
+//! - `load`: load generation over persistent connections
+//! - `count`: statistics over the debug logs of several forwarders
+//! - `fleet`: chaos scenes over several processes that form a fleet
+//! - `bugs`, `scratch`: planted bugs as patches (mutation testing), and builds of the program with one
+//!   applied
 //!
 //! ```
 //! use yarrowhill_rig::Script;
@@ -22,13 +24,13 @@
 mod sweep;
 
 pub use bugs::{Bug, Scene};
-pub use count::{Cell, Counts, Kept, Suspect, count};
+pub use count::{Cell, CellKey, Counts, SuspectedBreach, count};
 pub use fleet::{
-    FleetAct, FleetPlayed, FleetScene, Folder, SceneError, Sharing, Weather, directed, dutiful, limited,
-    play_scene, play_scenes, returning,
+    FleetAct, FleetOutcome, FleetScene, LinkQuality, SceneError, Sharing, StateFolder, directed_scenes,
+    duty_scenes, limit_scenes, outage_scenes, play_scene, play_scenes,
 };
-pub use load::{Load, Loaded, play_load};
-pub use play::{Played, play};
-pub use scratch::{Scratch, ScratchError, patched};
+pub use load::{Load, LoadOutcome, play_load};
+pub use play::{RunOutcome, play_script};
+pub use scratch::{ScratchBuild, ScratchBuildError, patched_files};
 pub use script::{Act, Dest, Script};
 pub use sweep::{Sweep, sweep};
