--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -251,7 +251,7 @@
     }
 
     #[test]
-    fn largest_membership_packet_fits_and_round_trips() {
+    fn fits_and_round_trips_the_largest_membership_packet() {
         let bytes = encode(&largest_packet(), MAX_PACKET_BYTES).expect("fits");
         assert_eq!(decode::<Packet>(&bytes, MAX_PACKET_BYTES), Ok(largest_packet()));
         // Fields that a later build appends are ignored.
@@ -263,11 +263,11 @@
     }
 
     #[test]
-    fn largest_packets_of_the_other_kinds_fit_and_round_trip() {
+    fn fits_and_round_trips_the_largest_packets_of_the_other_kinds() {
         let offer = Some(Offer { asked_at: u64::MAX, amount: u64::MAX });
         let request = Request { sent_at: u64::MAX, extra: u64::MAX, offer };
         let payloads = vec![Payload::Request(u64::MAX, request); MAX_PAYLOADS];
-        let envelope = Envelope { life: u64::MAX, to_life: Some(u64::MAX), payloads };
+        let envelope = Envelope { instance: u64::MAX, to_instance: Some(u64::MAX), payloads };
         let bytes = encode_rights(&envelope).expect("fits");
         assert!(
             is_rights(&bytes) && decode::<Packet>(&bytes, MAX_PACKET_BYTES) == Err(CodecError::UnknownFormat)
@@ -320,7 +320,7 @@
     proptest! {
         /// Arbitrary bytes behind the mark are decoded or rejected, and decode to no more items than bytes.
         #[test]
-        fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        fn decodes_or_rejects_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
             let bytes = [MEMBERSHIP_MARK.as_slice(), &bytes].concat();
             if let Ok(packet) = decode::<Packet>(&bytes, MAX_PACKET_BYTES) {
                 prop_assert!(packet.updates.len() < 400);
--- a/crates/rights/src/coordinator.rs
+++ b/crates/rights/src/coordinator.rs
@@ -1,14 +1,14 @@
 //! The coordinator of a limit: collects what members lend and grants it to those that need more. Any member
-//! may be one at any time, several may act at once, and one may vanish at any instant: a coordinator grants
-//! only what was lent to itself.
+//! may be the coordinator at any time, several may act at once, and each may vanish at any instant: safety
+//! depends on none of this, since a coordinator grants only what was lent to itself.
 
 use crate::durations::{LeaseDurations, Micros};
 use crate::holder::{Grant, Request};
 use crate::water_fill::water_fill;
 use std::collections::BTreeMap;
 
-/// A grant whose planned amount differs from the last one by less than one part in this many stays unchanged,
-/// as rights would otherwise move back and forth for nothing.
+/// A grant stays unchanged if its planned amount differs from the last one by less than one part in this
+/// many, so that rights do not move back and forth with small variations of demand.
 const HYSTERESIS: u64 = 20;
 
 /// What the coordinator knows of a member.
@@ -16,7 +16,7 @@
 struct Member {
     /// Loans: time of expiry by this clock, and amount.
     lent: Vec<(Micros, u64)>,
-    /// Grants that may still be in use: time after which they can't be, and amount.
+    /// Grants that may still be in use: time of expiry by this clock, and amount.
     granted: Vec<(Micros, u64)>,
     /// Amount of the latest request, and when it was received.
     extra: u64,
@@ -65,7 +65,7 @@
         for member in self.members.values_mut() {
             member.lent.retain(|(until, _)| now < *until);
             member.granted.retain(|(until, _)| now < *until);
-            // A member that has sent nothing for the duration of a grant requests nothing any more.
+            // The request of a member that has been silent for the duration of a grant has expired.
             if now >= member.received_at.saturating_add(durations.grant) {
                 member.extra = 0;
             }
@@ -116,7 +116,7 @@
     }
 
     /// Returns the same state on a clock that reads `offset` less, at `now` of that clock, without expired
-    /// entries. State space searches use it to recognise equal states.
+    /// entries. State-space searches use it to recognize equal states.
     pub fn rebased(&self, now: Micros, offset: Micros) -> Self {
         let mut same = self.clone();
         same.grants_from = same.grants_from.saturating_sub(offset).max(now);
@@ -131,7 +131,7 @@
         same
     }
 
-    /// Returns the state without requests, which do not bear on safety: state space searches draw them anew
+    /// Returns the state without requests, which do not bear on safety: state-space searches draw them anew
     /// in each step.
     pub fn without_requests(&self) -> Self {
         let mut same = self.clone();
--- a/crates/rights/src/holder.rs
+++ b/crates/rights/src/holder.rs
@@ -7,7 +7,8 @@
 /// Eighths of its demand that a member keeps for itself. The margin is needed because it reports its demand
 /// only four times per grant, and what it lends is unavailable for about four grants.
 const KEEP_EIGHTHS: u64 = 9;
-/// Maximum number of coordinators that a member deals with at a time; it lends nothing to further ones.
+/// Maximum number of coordinators that a member lends to, or holds grants of, at a time; further ones are
+/// ignored.
 const MAX_COORDINATORS: usize = 4;
 
 /// A loan to a coordinator.
@@ -150,7 +151,7 @@
     }
 
     /// Returns the same state on a clock that reads `offset` less, at `now` of that clock, without expired
-    /// entries. State space searches use it to recognise equal states.
+    /// entries. State-space searches use it to recognize equal states.
     pub fn rebased(&self, now: Micros, offset: Micros) -> Self {
         let mut same = self.clone();
         same.usable_from = same.usable_from.saturating_sub(offset).max(now);
--- a/crates/rights/src/shared_limits.rs
+++ b/crates/rights/src/shared_limits.rs
@@ -21,7 +21,7 @@
 /// Maximum number of payloads in an envelope; this many of the largest encoded size fit in a packet.
 pub const MAX_PAYLOADS: usize = 18;
 /// Half-life of the demand meter in rounds: two grants. With one grant, a member with one call per second
-/// seems to need more and less by turns, and 300 of them together use 0.87 of a limit instead of all of it
+/// seems to need more and less in turn, and 300 of them together use 0.87 of a limit instead of all of it
 /// (`attack rights`).
 const DEMAND_HALF_LIFE_ROUNDS: u64 = 8;
 /// Maximum number of coordinators whose latest question for a loan is kept.
@@ -40,11 +40,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Identifier of the sending process, drawn at each start.
-    pub life: u64,
-    /// Identifier of the receiving process that is meant, or none if the sender knows of none. The times that
-    /// are sent back and forth are on the clock of one process.
-    pub to_life: Option<u64>,
-    /// Messages, [`MAX_PAYLOADS`] at most.
+    pub instance: u64,
+    /// Identifier of the receiving process, or none if the sender has not received it yet. Messages echo
+    /// times that only the process that sent them first can interpret, so a later process must not apply
+    /// them.
+    pub to_instance: Option<u64>,
+    /// Messages about limits, at most [`MAX_PAYLOADS`].
     pub payloads: Vec<Payload>,
 }
 
@@ -155,13 +156,13 @@
 #[derive(Clone, Debug)]
 pub struct SharedLimits {
     local_id: u64,
-    life: u64,
+    instance: u64,
     durations: LeaseDurations,
     members: u64,
     shares: BTreeMap<u64, Share>,
     coordinators: BTreeMap<u64, Coordinator>,
     /// Process identifiers of other members, as last received.
-    lives: BTreeMap<u64, u64>,
+    instances: BTreeMap<u64, u64>,
     next_round: Micros,
     /// Whether a call was delayed since the last round, so that the next one is brought forward.
     has_new_delays: bool,
@@ -172,17 +173,17 @@
 }
 
 impl SharedLimits {
-    /// Returns the state of a member that starts at `now`. `life` identifies the process and is drawn at each
-    /// start; `members` is the number of members that share each limit.
-    pub fn new(now: Micros, local_id: u64, life: u64, members: usize, durations: LeaseDurations) -> Self {
+    /// Returns the state of a member that starts at `now`. `instance` identifies the process and is drawn at
+    /// each start; `members` is the number of members that share each limit.
+    pub fn new(now: Micros, local_id: u64, instance: u64, members: usize, durations: LeaseDurations) -> Self {
         SharedLimits {
             local_id,
-            life,
+            instance,
             durations,
             members: members.max(1) as u64,
             shares: BTreeMap::new(),
             coordinators: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            instances: BTreeMap::new(),
             // Spreads the rounds of members that start at the same time.
             next_round: now + local_id % durations.round_interval().max(1),
             has_new_delays: false,
@@ -323,9 +324,12 @@
         }
         let mut envelopes = Vec::new();
         for (to, payloads) in remote {
-            let to_life = self.lives.get(&to).copied();
+            let to_instance = self.instances.get(&to).copied();
             for payloads in payloads.chunks(MAX_PAYLOADS) {
-                envelopes.push((to, Envelope { life: self.life, to_life, payloads: payloads.to_vec() }));
+                envelopes.push((
+                    to,
+                    Envelope { instance: self.instance, to_instance, payloads: payloads.to_vec() },
+                ));
             }
         }
         envelopes
@@ -334,8 +338,8 @@
     /// Handles an envelope from a member of the roster and returns the answer, if it needs one.
     pub fn handle(&mut self, now: Micros, from: u64, envelope: &Envelope) -> Option<Envelope> {
         // Bounded by the roster: the host passes on envelopes of its members only.
-        self.lives.insert(from, envelope.life);
-        let is_current = envelope.to_life == Some(self.life);
+        self.instances.insert(from, envelope.instance);
+        let is_current = envelope.to_instance == Some(self.instance);
         let mut payloads = Vec::new();
         for payload in envelope.payloads.iter().take(MAX_PAYLOADS) {
             match *payload {
@@ -354,13 +358,17 @@
                 Payload::Grant(..) => self.refusals.stale += 1,
             }
         }
-        (!payloads.is_empty()).then_some(Envelope { life: self.life, to_life: Some(envelope.life), payloads })
+        (!payloads.is_empty()).then_some(Envelope {
+            instance: self.instance,
+            to_instance: Some(envelope.instance),
+            payloads,
+        })
     }
 
     fn handle_request(&mut self, now: Micros, from: u64, limit: u64, mut request: Request) -> Grant {
         let (durations, floor) = (self.durations, self.floor());
         if let Some(offer) = request.offer.as_mut().filter(|offer| offer.amount > floor) {
-            // No member has more than its floor to lend, whatever it reports.
+            // A member cannot lend more than its floor, so a larger offer is reduced to it.
             self.refusals.excessive += 1;
             offer.amount = floor;
         }
@@ -469,7 +477,7 @@
     }
 
     #[test]
-    fn a_busy_member_borrows_from_an_idle_one_and_returns_it() {
+    fn moves_rights_from_an_idle_to_a_busy_member_and_back() {
         let (mut members, mut now) = two_members(100);
         assert_eq!(
             run(&mut members, &mut now, 400_000, [100, 1]),
@@ -487,7 +495,7 @@
     }
 
     #[test]
-    fn a_lowered_limit_binds_at_once() {
+    fn applies_a_lowered_limit_at_once() {
         let (mut members, mut now) = two_members(100);
         run(&mut members, &mut now, 5_000_000, [125, 1]);
         let limits = BTreeMap::from([(LIMIT, Limit { calls: 10 * CALL, lend: true })]);
@@ -501,7 +509,7 @@
     /// A call under two limits takes from both or from neither, and a fraction of a right yields that
     /// fraction of its calls.
     #[test]
-    fn a_call_under_two_limits_takes_from_both_or_neither() {
+    fn takes_a_call_from_both_of_its_limits_or_neither() {
         let durations = LeaseDurations::new(200_000, 0.01);
         let mut now = 1_000_000_000;
         let retries = retry_limit_id(LIMIT);
@@ -534,7 +542,7 @@
         let offer = |amount| Some(crate::Offer { asked_at: now, amount });
         let request =
             |amount| Payload::Request(LIMIT, Request { sent_at: now, extra: 0, offer: offer(amount) });
-        let envelope = |to_life, payload| Envelope { life: 5, to_life, payloads: vec![payload] };
+        let envelope = |to_instance, payload| Envelope { instance: 5, to_instance, payloads: vec![payload] };
         member.handle(now, 2, &envelope(Some(1), request(PARTS / 2)));
         assert_eq!(member.refusals().stale, 1);
         member.handle(now, 2, &envelope(Some(77), request(u64::MAX)));
--- a/crates/rights/src/token_bucket.rs
+++ b/crates/rights/src/token_bucket.rs
@@ -84,7 +84,7 @@
     }
 
     #[test]
-    fn a_right_that_expired_between_refills_adds_nothing() {
+    fn adds_nothing_for_a_right_that_expired_between_refills() {
         let mut bucket = TokenBucket::new(0);
         bucket.refill(0, 100 * CALL);
         // The process was stopped for a minute, in which its right expired.
--- a/crates/rights/src/water_fill.rs
+++ b/crates/rights/src/water_fill.rs
@@ -1,7 +1,7 @@
 //! Max-min fair division of a pool between requests.
 
 /// Divides a pool by water filling: no share exceeds its request, and no share can grow without another that
-/// is not larger shrinking. Exact in whole units, up to one unit per member.
+/// is not larger shrinking. Shares are integers, so up to one unit per member may stay undivided.
 ///
 /// ```
 /// use yarrowhill_rights::water_fill;
@@ -28,7 +28,7 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Shares never exceed the pool or the requests, use the whole pool where enough is requested, and
+        /// Shares never exceed the pool or the requests, use the full pool where enough is requested, and
         /// each member that gets less than its request has as much as any other, but for the rounding.
         #[test]
         fn divides_max_min_fair(
