--- a/crates/attack/src/duties.rs
+++ b/crates/attack/src/duties.rs
@@ -56,10 +56,13 @@
     }
 }
 
+/// Number of voters in [`DutyWorld`].
 const VOTERS: u64 = 3;
+/// Id of the only duty in [`DutyWorld`].
 const DUTY: u64 = 5;
 /// Reading of every clock in a state.
 const NOW: u64 = 1_000_000;
+/// Boot number of each voter's first process.
 const BOOT: u64 = 4;
 
 /// State of [`DutyWorld`].
@@ -437,7 +440,9 @@
 
 // ---- Schedules ----
 
+/// Unit from which the times of the schedules and measurements are derived (microseconds).
 const PERIOD: Micros = 1_000_000;
+/// Drift bound of clock rates.
 const DRIFT: f64 = 0.01;
 /// Duration of a lease without renewal (microseconds).
 const TERM: Micros = 3 * PERIOD;
--- a/crates/attack/src/measure.rs
+++ b/crates/attack/src/measure.rs
@@ -21,16 +21,16 @@
 /// Measured failure detection. Times are in milliseconds of virtual time.
 #[derive(Clone, Debug)]
 pub struct DetectionStats {
-    /// Time from a death until the first member holds the dead member for dead.
+    /// Time from a death until the first member considers the dead member dead.
     pub first_detection: Histogram<u64>,
-    /// Time from a death until all live members do.
+    /// Time from a death until all live members consider the dead member dead.
     pub full_detection: Histogram<u64>,
     /// Time from a death until all live members have the same view without the dead member.
     pub view_agreement: Histogram<u64>,
     /// Bytes sent by each member per second while nothing changes.
     pub idle_bytes: f64,
-    /// Live members that any member came to hold for dead, per hour of virtual time. Each incarnation counts
-    /// once.
+    /// Number of live members that some member wrongly considered dead, per hour of virtual time. Each
+    /// incarnation counts once.
     pub false_deaths: f64,
 }
 
@@ -156,7 +156,7 @@
     None
 }
 
-/// Records the live members that any member holds for dead now, with the incarnation concerned. A report of a
+/// Records the live members that any member considers dead now, with the incarnation concerned. A report of a
 /// death lasts until it is refuted, which takes rounds of probes: checking once per period misses few.
 fn record_false_deaths(
     sim: &Simulation,
@@ -218,8 +218,8 @@
     }
 }
 
-/// Measures the same deaths with heartbeats: time until all live members hold the dead member for dead, and
-/// bytes sent by each member per second.
+/// Measures the same deaths with heartbeats: time until all live members consider the dead member dead,
+/// and bytes sent by each member per second.
 pub fn measure_heartbeats(size: usize, loss: f64, deaths: usize, seed: u64) -> (Histogram<u64>, f64) {
     let links = Links::uniform(Link { loss, ..Link::default() });
     let mut fleet: Fleet<HeartbeatMember> = Fleet::new(seed, links, |()| HEARTBEAT_BYTES);
--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -18,6 +18,7 @@
 
 /// Probe period from which all other timings are derived (microseconds).
 const PERIOD: Micros = 1_000_000;
+/// Drift bound of clock rates.
 const DRIFT: f64 = 0.01;
 /// Destination id.
 const DEST: u64 = 7;
--- a/crates/attack/src/rights.rs
+++ b/crates/attack/src/rights.rs
@@ -179,6 +179,7 @@
 
 /// Duration of a grant in the schedules and measurements (microseconds).
 const GRANT: Micros = 1_000_000;
+/// Drift bound of clock rates.
 const DRIFT: f64 = 0.01;
 /// Limit that all members share.
 const LIMIT: u64 = 600 * CALL;
--- a/crates/attack/src/schedule.rs
+++ b/crates/attack/src/schedule.rs
@@ -70,7 +70,7 @@
 /// Maximum time from repair to one common view: the longest suspicion, a round of probes, and the settling of
 /// the view with the hold-downs of members that flapped.
 const MAX_CONVERGENCE: Micros = 90 * PERIOD;
-/// Maximum time for which a dead member may stay in any view, whatever the links do.
+/// Maximum time for which a dead member may stay in any view, under any link faults.
 const MAX_DETECTION: Micros = 60 * PERIOD;
 /// Interval between property checks.
 const CHECK_INTERVAL: Micros = PERIOD / 20;
@@ -294,11 +294,11 @@
             .filter(|(_, e)| e.record.health != Health::Alive)
             .filter_map(|(id, e)| Some((sim.slot_of(id)?, e.record.health)))
             .collect();
-        let standing = core.state(sim.fleet.local_time(n));
-        if !not_alive.is_empty() || standing != yarrowhill_membership::MembershipState::Complete {
+        let state = core.state(sim.fleet.local_time(n));
+        if !not_alive.is_empty() || state != yarrowhill_membership::MembershipState::Complete {
             let view_size = core.view().members.len();
             let description = format!(
-                "member {n} is {standing} with {view_size} members in its view; not alive: {not_alive:?}"
+                "member {n} is {state} with {view_size} members in its view; not alive: {not_alive:?}"
             );
             return Err(Violation { at, description });
         }
--- a/crates/attack/src/worlds.rs
+++ b/crates/attack/src/worlds.rs
@@ -277,8 +277,8 @@
                 ));
             }
         }
-        // Whatever its start was: once the member has received the newest record, its own next record
-        // outweighs all others.
+        // With any contents of the folder at the start: once the member has received the newest record, its
+        // own next record outweighs all others.
         let newest = s.records.iter().copied().max()?;
         let mut after = s.member.clone();
         s.pending_boot.into_iter().for_each(|boot| after.boot_persisted(boot));
--- a/crates/attack/tests/membership.rs
+++ b/crates/attack/tests/membership.rs
@@ -61,5 +61,8 @@
             seeds.push((seed, size, dead - before));
         }
     }
-    assert_eq!(dead, 0, "members held for dead, counted once per check (seed, size, count): {seeds:?}");
+    assert_eq!(
+        dead, 0,
+        "connected members considered dead, counted once per check (seed, size, count): {seeds:?}"
+    );
 }
--- a/crates/attack/tests/returns.rs
+++ b/crates/attack/tests/returns.rs
@@ -3,17 +3,17 @@
 
 use yarrowhill_attack::{RecoveryMode, measure_return, run_return_schedule};
 
-/// A member that starts during an outage calls the destination only to probe it, whatever packets are lost,
+/// A member that starts during an outage calls the destination only to probe it, even if packets are lost,
 /// and the destination is not overloaded after its return.
 #[test]
-fn restarted_member_only_probes_and_destination_is_not_overloaded() {
+fn only_probes_after_a_restart_and_does_not_overload_a_returning_destination() {
     for seed in 0..100 {
         run_return_schedule(seed).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
 
 #[test]
-fn coordinated_recovery_probes_less_and_returns_no_later() {
+fn probes_less_and_returns_no_later_with_coordinated_recovery() {
     let (coordinated, independent) = (
         measure_return(100, RecoveryMode::Coordinated, 1),
         measure_return(100, RecoveryMode::Independent, 1),
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -6,6 +6,7 @@
 use std::time::Instant;
 use yarrowhill_journal::{Accepted, Durability, End, Journal, Options, Record};
 
+/// Time stamp of all records (ms of Unix time).
 const NOW: u64 = 1_800_000_000_000;
 
 pub(crate) fn compare(turns: u64) -> Result<(), Box<dyn Error>> {
--- a/crates/bench/src/recover.rs
+++ b/crates/bench/src/recover.rs
@@ -9,6 +9,7 @@
 
 /// Number of messages or ends per commit while the journal is created.
 const BATCH: u64 = 1000;
+/// Limit of the journal's size, large enough not to affect the measurement.
 const MAX_JOURNAL_BYTES: u64 = 1 << 32;
 
 fn options() -> Options {
--- a/crates/bench/src/scale.rs
+++ b/crates/bench/src/scale.rs
@@ -31,6 +31,7 @@
 /// Number of destinations at which the open messages wait.
 const WAITING_DESTINATIONS: u64 = 100;
 const HOUR: Duration = Duration::from_secs(3600);
+/// Limit of the journal's size, large enough not to affect the measurement.
 const MAX_JOURNAL_BYTES: u64 = 1 << 32;
 
 /// Transport that collects the calls instead of making them.
--- a/crates/checker/src/duties.rs
+++ b/crates/checker/src/duties.rs
@@ -11,8 +11,9 @@
     /// Number of the process.
     #[serde(rename = "who")]
     pub process: usize,
-    /// Number of the process's current run, given by the rig: a new start counts as another process.
-    pub life: usize,
+    /// Boot number of the process, added by the rig: a new start counts as another process.
+    #[serde(rename = "life")]
+    pub boot: usize,
     /// Name of the duty.
     pub duty: String,
     /// Fencing token under which the duty is held.
@@ -28,7 +29,7 @@
 /// The time over which one process claimed a duty under one token.
 struct Tenure {
     process: usize,
-    life: usize,
+    boot: usize,
     /// Time of the first claim (us).
     first_us: u64,
     /// Time of the last claim (us).
@@ -43,7 +44,7 @@
     // By duty and token.
     let mut tenures: BTreeMap<&str, BTreeMap<u64, Tenure>> = BTreeMap::new();
     for entry in ledger {
-        let FleetEvent::DutyClaimed(DutyClaim { process, life, duty, token, valid_us, .. }) = &entry.event
+        let FleetEvent::DutyClaimed(DutyClaim { process, boot, duty, token, valid_us, .. }) = &entry.event
         else {
             continue;
         };
@@ -55,12 +56,12 @@
         }
         let tenure = tenures.entry(duty).or_default().entry(*token).or_insert(Tenure {
             process: *process,
-            life: *life,
+            boot: *boot,
             first_us: at,
             last_us: at,
             recorded_at: entry.at,
         });
-        if (tenure.process, tenure.life) != (*process, *life) {
+        if (tenure.process, tenure.boot) != (*process, *boot) {
             let text = format!("{duty} is held under token {token} by {} and by {process}", tenure.process);
             breaches.push(FleetBreach { at: entry.at, text });
             return;
@@ -121,7 +122,7 @@
 
     fn holds(process: usize, token: u64, at: u64) -> FleetEntry {
         let claim =
-            DutyClaim { process, life: 0, duty: "a".into(), token, valid_us: [at, at + 400], step: 0 };
+            DutyClaim { process, boot: 0, duty: "a".into(), token, valid_us: [at, at + 400], step: 0 };
         FleetEntry { at: at as f64 / 1000.0, event: FleetEvent::DutyClaimed(claim) }
     }
 
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Judges the claims that the processes of a fleet make, from the ledger alone: it holds what the rig did to
-//! the processes and the links between them, and what each process said of itself and of the others. Shares
-//! no code with the membership package; the table of what each standing permits is written here a second
-//! time.
+//! Judges the claims that the processes of a fleet make, from the ledger alone. The ledger holds what the rig
+//! did to the processes and the links between them, and what each process reported of itself and of the
+//! others. Shares no code with the membership package, so that one mistake cannot be in both: the table of
+//! what each membership state permits is repeated here.
 
 use crate::duties::DutyClaim;
 use crate::outages::ColdStart;
@@ -148,8 +148,9 @@
     /// of a clock that all processes of the machine share).
     #[serde(rename = "span")]
     pub valid_us: [u64; 2],
-    /// Standing of the process.
-    pub standing: String,
+    /// Membership state of the process.
+    #[serde(rename = "standing")]
+    pub membership_state: String,
     /// Whether the process may do what only one side of a partition may do.
     #[serde(rename = "acts")]
     pub may_act: bool,
@@ -360,10 +361,10 @@
     }
 }
 
-/// Returns what a standing permits: whether the process may act; whether it accepts messages, sends messages,
-/// and is ready.
-fn permits(standing: &str) -> Option<(bool, [bool; 3])> {
-    Some(match standing {
+/// Returns what a membership state permits: whether the process may act; whether it accepts messages, sends
+/// messages, and is ready.
+fn permits(membership_state: &str) -> Option<(bool, [bool; 3])> {
+    Some(match membership_state {
         "whole" | "majority" => (true, [true, true, true]),
         "minority" | "unsettled" | "alone" => (false, [true, true, true]),
         "not-yet-known" => (false, [true, true, false]),
@@ -373,17 +374,17 @@
     })
 }
 
-/// Checks that each process does what its standing permits, and that it acts only with a majority of the
-/// voters.
+/// Checks that each process does what its membership state permits, and that it acts only with a majority of
+/// the voters.
 fn check_permits(ledger: &[FleetEntry], breaches: &mut Vec<FleetBreach>) {
     for entry in ledger {
         let (FleetEvent::Claimed(claim) | FleetEvent::DuplicateClaimed(claim)) = &entry.event else {
             continue;
         };
-        if permits(&claim.standing) != Some((claim.may_act, claim.serves)) {
+        if permits(&claim.membership_state) != Some((claim.may_act, claim.serves)) {
             let text = format!(
                 "{} is {}, but reports: acts {}; accepts, sends, is ready {:?}",
-                claim.process, claim.standing, claim.may_act, claim.serves
+                claim.process, claim.membership_state, claim.may_act, claim.serves
             );
             breaches.push(FleetBreach { at: entry.at, text });
         }
@@ -501,7 +502,7 @@
     since: f64,
     /// Whether the second process runs.
     both_run: bool,
-    /// Whether each process, in its last claim after the grace period, had the standing `doubled`.
+    /// Whether each process, in its last claim after the grace period, was in the state `doubled`.
     doubled: [Option<bool>; 2],
 }
 
@@ -528,11 +529,11 @@
         if entry.at - name.since < grace {
             continue;
         }
-        name.doubled[which] = Some(claim.standing == "doubled");
+        name.doubled[which] = Some(claim.membership_state == "doubled");
         let fault = match (name.both_run, name.doubled) {
             (true, [Some(false), Some(false)]) => "runs twice, and both processes are active",
             (true, [Some(true), Some(true)]) => "runs twice, and neither process is active",
-            (false, [Some(true), _]) => "runs once, and still has the standing doubled",
+            (false, [Some(true), _]) => "runs once, and is still in the state doubled",
             _ => continue,
         };
         breaches.push(FleetBreach { at: entry.at, text: format!("{} {fault}", claim.process) });
@@ -715,14 +716,14 @@
         members: &[usize],
         states: &[&str],
     ) -> Claim {
-        let standing = if may_act { "majority" } else { "minority" }.to_owned();
+        let membership_state = if may_act { "majority" } else { "minority" }.to_owned();
         let states = states.iter().map(|s| (*s).to_owned()).collect();
         let (view, members, serves) = (view.to_owned(), members.to_vec(), [true; 3]);
         let voters = (0..3).collect();
         Claim {
             process,
             valid_us,
-            standing,
+            membership_state,
             may_act,
             serves,
             view,
@@ -816,7 +817,7 @@
         let claimed = |at, duplicate: bool, doubled: bool| {
             let mut claim = claim(1, [0, 0], false, "a", &[0, 1, 2], &["alive"; 3]);
             if doubled {
-                (claim.standing, claim.serves) = ("doubled".to_owned(), [false; 3]);
+                (claim.membership_state, claim.serves) = ("doubled".to_owned(), [false; 3]);
             }
             let event =
                 if duplicate { FleetEvent::DuplicateClaimed(claim) } else { FleetEvent::Claimed(claim) };
@@ -840,7 +841,7 @@
         assert_eq!(found(&[duplicate(400.0, false), claimed(800.0, false, true)]), "");
         assert!(
             found(&[duplicate(400.0, false), claimed(950.0, false, true)])
-                .contains("still has the standing doubled")
+                .contains("is still in the state doubled")
         );
     }
 
--- a/crates/checker/tests/rules.rs
+++ b/crates/checker/tests/rules.rs
@@ -69,12 +69,12 @@
 #[test]
 fn allows_more_time_for_notices_after_a_restart() {
     let start = [sent(0.0, "a", "unsafe"), client_status(5.0, "a", 202)];
-    let life = [
+    let restart = [
         at(900.0, Event::Forwarder(ForwarderState::Ending)),
         at(1500.0, Event::Forwarder(ForwarderState::Ready)),
     ];
-    assert_eq!(breached_rules(&[&start, &life, &[notice(2900.0, "a", false)]]), []);
-    assert_eq!(breached_rules(&[&start, &life, &[notice(3200.0, "a", false)]]), [Rule::Lost]);
+    assert_eq!(breached_rules(&[&start, &restart, &[notice(2900.0, "a", false)]]), []);
+    assert_eq!(breached_rules(&[&start, &restart, &[notice(3200.0, "a", false)]]), [Rule::Lost]);
 }
 
 #[test]
@@ -173,11 +173,11 @@
     assert_eq!(breached_rules(&[&start, &first, &waits, &called(100.0, 2, &[])]), []);
     assert_eq!(breached_rules(&[&start, &first, &waits, &called(400.0, 2, &[])]), [Rule::Wait]);
     assert_eq!(breached_rules(&[&start, &first, &waits, &called(825.0, 2, &[])]), []);
-    let life = [
+    let restart = [
         at(300.0, Event::Forwarder(ForwarderState::Ending)),
         at(350.0, Event::Forwarder(ForwarderState::Ready)),
     ];
-    assert_eq!(breached_rules(&[&start, &first, &waits, &life, &called(400.0, 2, &[])]), []);
+    assert_eq!(breached_rules(&[&start, &first, &waits, &restart, &called(400.0, 2, &[])]), []);
 }
 
 #[test]
--- a/crates/rig/src/bin/rig.rs
+++ b/crates/rig/src/bin/rig.rs
@@ -181,7 +181,8 @@
     /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Number of shards of the forwarder for each of its lives, separated by commas.
+    /// Number of shards of the forwarder after each of its starts, separated by commas; the last number
+    /// applies to further starts.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     shards: Vec<usize>,
     /// Number of destinations.
@@ -462,10 +463,10 @@
     let LoadArgs { rate, seconds, clients, again, deadline_ms, kills, disk_mb, seed, shards, dests, bug } =
         args;
     if !(rate > 0.0 && seconds > 0.0 && seconds <= 600.0 && (0.0..=1.0).contains(&again) && clients <= 512) {
-        return Err(io::Error::other(
-            "out of range: rate must be above 0, seconds above 0 and at most 600, again from 0 to 1, \
-             clients at most 512",
-        ));
+        return Err(io::Error::other(format!(
+            "out of range: rate {rate} must be above 0, seconds {seconds} above 0 and at most 600, \
+             again {again} from 0 to 1, clients {clients} at most 512"
+        )));
     }
     let program = program_path(bug)?;
     let load = Load {
@@ -631,16 +632,16 @@
     Ok(unclean == 0)
 }
 
-/// Prints when the standing, the view, or the share of the limits changed at each process.
+/// Prints when the membership state, the view, or the share of the limits changed at each process.
 fn print_changes(outcome: &FleetOutcome) {
     let mut last: BTreeMap<usize, (String, usize, usize)> = BTreeMap::new();
     for entry in &outcome.ledger {
         let yarrowhill_checker::FleetEvent::Claimed(claim) = &entry.event else { continue };
-        let now = (claim.standing.clone(), claim.members.len(), claim.senders);
+        let now = (claim.membership_state.clone(), claim.members.len(), claim.senders);
         if last.get(&claim.process) != Some(&now) {
-            let (standing, members, senders) = &now;
+            let (state, members, senders) = &now;
             println!(
-                "{:7.2} s  {}: {standing}, {members} members in its view, limits shared by {senders}",
+                "{:7.2} s  {}: {state}, {members} members in its view, limits shared by {senders}",
                 entry.at / 1000.0,
                 claim.process
             );
--- a/crates/rig/src/bugs.rs
+++ b/crates/rig/src/bugs.rs
@@ -63,7 +63,7 @@
     LoseLastRecord = "lose-the-last-record-of-a-turn",
     /// Beyond 4,096 remembered ends of messages, a further one is dropped.
     DropEnd = "drop-an-end-when-full",
-    /// Of two updates about a member the one with the worse health wins, whatever its incarnation.
+    /// Of two updates about a member the one with the worse health wins, even with an older incarnation.
     AcceptOldIncarnation = "believe-an-old-incarnation",
     /// Members that are considered dead count as present.
     CountDeadAsPresent = "count-the-dead-as-there",
@@ -77,10 +77,10 @@
     SendBeforeBootStored = "speak-before-the-boot-is-on-disk",
     /// The lender keeps using the share that it has lent.
     UseLentShare = "use-what-is-lent",
-    /// A restarted process uses its full share at once, whatever its earlier life has lent.
-    ForgetPromises = "forget-promises-at-a-start",
-    /// A keeper counts a promise from its arrival instead of from the request for it.
-    PromiseFromArrival = "count-a-promise-from-its-arrival",
+    /// A restarted process uses its full share at once, although an earlier process may have lent it.
+    ForgetLoans = "forget-promises-at-a-start",
+    /// A coordinator counts a loan from its arrival instead of from its question for it.
+    LoanFromArrival = "count-a-promise-from-its-arrival",
     /// A borrower counts a grant from its arrival instead of from the request for it.
     GrantFromArrival = "count-a-grant-from-its-arrival",
     /// A wait that a destination returned to another member delays no calls.
@@ -123,8 +123,8 @@
 
     /// Returns whether the bug concerns shared limits, so that `attack rights` must catch it too.
     pub fn is_in_rights(self) -> bool {
-        use Bug::{ForgetPromises, GrantFromArrival, PromiseFromArrival, UseLentShare};
-        matches!(self, UseLentShare | ForgetPromises | PromiseFromArrival | GrantFromArrival)
+        use Bug::{ForgetLoans, GrantFromArrival, LoanFromArrival, UseLentShare};
+        matches!(self, UseLentShare | ForgetLoans | LoanFromArrival | GrantFromArrival)
     }
 
     /// Returns whether the bug concerns outages and recoveries, so that `attack returns` must catch it too.
@@ -166,13 +166,13 @@
             Bug::UseLentShare => {
                 (0..10).map(|n| (4000.0 + 700.0 * f64::from(n), Busy(n as usize % 2))).collect()
             }
-            Bug::ForgetPromises => {
+            Bug::ForgetLoans => {
                 let kills = (1..5).map(|n| (5000.0, Kill(n)));
                 let starts = (1..5).map(|n| (5100.0, Start(n, StateFolder::Kept)));
                 kills.chain(starts).chain([(5000.0, Busy(1))]).collect()
             }
             // Each direction delays by half the validity of a grant.
-            Bug::PromiseFromArrival | Bug::GrantFromArrival => {
+            Bug::LoanFromArrival | Bug::GrantFromArrival => {
                 let moves = (0..10).map(|n| (5000.0 + 900.0 * f64::from(n), Busy(n as usize % 2)));
                 [(500.0, Weather(slow_links))].into_iter().chain(moves).collect()
             }
--- a/crates/rig/src/count.rs
+++ b/crates/rig/src/count.rs
@@ -10,11 +10,12 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// Longer lines are cut off; the forwarder writes none of this length.
+/// Maximum length of a log line; longer lines are cut off. The forwarder writes none of this length.
 const MAX_LINE_BYTES: usize = 1 << 20;
 /// Maximum number of suspected breaches that are listed by message id.
 const MAX_SUSPECTED_BREACHES: usize = 1000;
-/// A send this soon after the answer that returned a wait may have crossed it and is not a breach.
+/// Time after an answer that returned a wait within which a send may have crossed the answer and is no
+/// breach.
 const WAIT_GRACE_US: i64 = 100_000;
 
 /// Counters of one forwarder and destination over one second.
@@ -240,7 +241,7 @@
                 let breach = match (effect, message.first_risky_us) {
                     (Effect::Unsafe, Some(_)) => Some("unsafe, sent after an attempt that may have run"),
                     (Effect::Keyed(life), Some(first)) if at > first + life => {
-                        Some("keyed, sent after its key's life")
+                        Some("keyed, sent after its key expired")
                     }
                     _ => None,
                 };
@@ -402,7 +403,7 @@
             "a",
             &[
                 STARTS,
-                "2026-12-01T20:00:01.000000Z DEBUG taken id=m1 class=0 dest=7 left=5 past=Past { attempts: 0 }",
+                "2026-12-01T20:00:01.000000Z DEBUG taken id=m1 class=0 dest=7 left=5 past=MessageHistory { attempts: 0 }",
                 "2026-12-01T20:00:01.100000Z DEBUG sent id=m1 attempt=0 endpoint=3 dest=7 call=1",
                 "2026-12-01T20:00:01.200000Z DEBUG written endpoint=3 first=\"m1\" kept=false",
                 "2026-12-01T20:00:02.000000Z DEBUG ended id=\"m1\" attempt=0 outcome=Reset took=9 report=None",
@@ -417,7 +418,7 @@
             "b",
             &[
                 STARTS,
-                "1.000 2026-12-01T20:00:01.000000Z DEBUG taken id=m2 class=1 dest=7 left=5 past=Past { attempts: 0 }",
+                "1.000 2026-12-01T20:00:01.000000Z DEBUG taken id=m2 class=1 dest=7 left=5 past=MessageHistory { attempts: 0 }",
                 "2026-12-01T20:00:01.100000Z DEBUG sent id=m2 attempt=0 endpoint=3 dest=7 call=1",
                 "2026-12-01T20:00:02.000000Z DEBUG ended id=\"m2\" attempt=0 outcome=TimedOut took=9",
                 "2026-12-01T20:00:03.000000Z DEBUG sent id=m2 attempt=1 endpoint=3 dest=7 call=2",
@@ -450,7 +451,7 @@
                 ("m1", "unsafe, sent after an attempt that may have run"),
                 ("m1", "unsafe, sent after an attempt that may have run"),
                 ("m1", "sent within a wait"),
-                ("m2", "keyed, sent after its key's life"),
+                ("m2", "keyed, sent after its key expired"),
             ]
         );
     }
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -594,10 +594,10 @@
                     ledger.write(FleetEvent::BootStored { process: *owner, boot });
                 }
             }
-            let life = usize::try_from(claim.boots.get(process).copied().unwrap_or(0)).unwrap_or(0);
+            let boot = usize::try_from(claim.boots.get(process).copied().unwrap_or(0)).unwrap_or(0);
             ledger.write(to_event(claim));
             if duties
-                && let Ok(Some(claims)) = timeout(QUERY_TIMEOUT, query_duties(process, life, &control)).await
+                && let Ok(Some(claims)) = timeout(QUERY_TIMEOUT, query_duties(process, boot, &control)).await
             {
                 claims.into_iter().for_each(|claim| ledger.write(FleetEvent::DutyClaimed(claim)));
             }
@@ -607,13 +607,13 @@
 }
 
 /// Queries the duties that a process claims to hold.
-async fn query_duties(process: usize, life: usize, control: &Path) -> Option<Vec<DutyClaim>> {
+async fn query_duties(process: usize, boot: usize, control: &Path) -> Option<Vec<DutyClaim>> {
     let answer = query(control, "{\"ask\":\"duties\"}\n").await?;
     let at = answer["at"].as_u64()?;
     let duty_claim = |duty: &Value| {
         Some(DutyClaim {
             process,
-            life,
+            boot,
             duty: duty["name"].as_str()?.to_owned(),
             token: duty["token"].as_u64()?,
             valid_us: [at, duty["held_until"].as_u64()?],
@@ -658,7 +658,7 @@
     Some(Claim {
         process,
         valid_us: [answer["at"].as_u64()?, answer["until"].as_u64()?],
-        standing: answer["standing"].as_str()?.to_owned(),
+        membership_state: answer["standing"].as_str()?.to_owned(),
         may_act: may("hold_duty") || may("configure"),
         serves: [may("take_on"), may("send_on"), may("ready")],
         view: answer["view"].as_str()?.to_owned(),
--- a/crates/rig/src/fleet/processes.rs
+++ b/crates/rig/src/fleet/processes.rs
@@ -24,6 +24,7 @@
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 2000 },
     Class { name: "settle-order", idempotency: "side_effect", deadline_ms: 2000 },
 ];
+/// Time for which destinations remember an idempotency key.
 const KEY_TTL_MS: f64 = 1200.0;
 /// Number of the first of the two destinations.
 pub(super) const FIRST_DEST: u64 = 10;
--- a/crates/rig/src/fleet/relay.rs
+++ b/crates/rig/src/fleet/relay.rs
@@ -1,5 +1,5 @@
 //! The network between two processes. A relay is one direction of it: a socket that receives what one process
-//! sends, and forwards it to the other from the address under which that one knows the sender.
+//! sends, and forwards it to the other from the address that the receiver has configured for the sender.
 
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -205,7 +205,7 @@
         return;
     }
     let Some(to) = to.first() else { return };
-    // Connects from the IP address under which the receiver knows the sender.
+    // Connects from the IP address that the receiver has configured for the sender.
     let connect = async {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::new(reverse.addr.ip(), 0))?;
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -74,7 +74,7 @@
     Down(usize, f64),
 }
 
-/// How processes keep to a limit that they share.
+/// How processes divide a limit that they share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Sharing {
     /// By rights that they lend and borrow.
@@ -380,7 +380,10 @@
         "islands" if numbers.len() == size => {
             FleetAct::Islands(numbers.iter().map(|n| *n as usize).collect())
         }
-        "islands" => return Err(error("needs a group number for each process")),
+        "islands" => {
+            let count = numbers.len();
+            return Err(error(&format!("needs {size} group numbers, one for each process, and has {count}")));
+        }
         "weather" => FleetAct::Weather(quality()),
         "link" => FleetAct::Link(process(0)?, process(1)?, quality()),
         "heal" => FleetAct::Heal,
@@ -391,7 +394,9 @@
             None | Some("kept") => FleetAct::Start(process(0)?, StateFolder::Kept),
             Some("emptied") => FleetAct::Start(process(0)?, StateFolder::Emptied),
             Some("old") => FleetAct::Start(process(0)?, StateFolder::Old),
-            Some(_) => return Err(error("folder must be kept, emptied or old")),
+            Some(folder) => {
+                return Err(error(&format!("folder is {folder:?}; it must be kept, emptied or old")));
+            }
         },
         "flap" => FleetAct::Flap(process(0)?, amount(1)?, amount(2)?),
         "flood" => FleetAct::Flood(process(0)?, amount(1)? as usize),
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -55,7 +55,7 @@
     pub disk_mb: f64,
     /// Number of destinations; every second one takes messages in batches.
     pub dests: usize,
-    /// Number of shards of the forwarder for each of its lives; resubmissions lives keep the last number.
+    /// Number of shards of the forwarder after each of its starts; the last number applies to further starts.
     pub shards: Vec<usize>,
 }
 
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -8,14 +8,20 @@
 use yarrowhill_faults::Point;
 use yarrowhill_standins::{Class, ConfigParams, EndpointLine, Faults, Resources, Rng, configuration};
 
+/// Message classes: one with an idempotency key, and one that must not be repeated.
 const CLASSES: [Class; 2] = [
     Class { name: "auth-notice", idempotency: "token", deadline_ms: 2500 },
     Class { name: "settle-order", idempotency: "side_effect", deadline_ms: 2000 },
 ];
+/// Time for which destinations remember an idempotency key.
 const KEY_TTL_MS: f64 = 1200.0;
+/// Time that a recovered destination takes to reach its full capacity.
 const WARM_UP_MS: f64 = 2000.0;
+/// Period over which calls to a recovered destination are counted against its capacity.
 const OVERLOAD_FOR_MS: f64 = 600.0;
+/// Multiple of its capacity at which a recovered destination is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Share of its capacity that a destination has right after an outage.
 const START_CAPACITY: f64 = 0.17;
 /// Duration for which clients submit messages (ms).
 const TRAFFIC_MS: f64 = 3000.0;
@@ -89,7 +95,8 @@
     /// duplicates.
     #[serde(rename = "clients")]
     pub client_faults: [f64; 3],
-    /// Fault point at which the process exits, and which time that it is reached (1 for the first).
+    /// Fault point at which the process exits, and the number of times that it must be reached (1 for the
+    /// first).
     #[serde(rename = "die")]
     pub exit_at: Option<(String, u64)>,
     /// Maximum size of a file that the program writes (bytes).
@@ -208,8 +215,7 @@
     /// Returns the time from the end of the traffic until all messages must have ended (ms).
     pub fn settle_ms(&self) -> f64 {
         let max_deadline = CLASSES.iter().map(|c| c.deadline_ms).max().unwrap_or(0) as f64;
-        // A terminates termination may take 3.7 s, and open messages become overdue only some time after the
-        // restart.
+        // A termination may take 3.7 s, and open messages become overdue only some time after the restart.
         let terminates = self.acts.iter().any(|(_, act)| *act == Act::Terminate);
         max_deadline + 600.0 + if terminates { 2000.0 } else { 0.0 }
     }
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -75,7 +75,7 @@
     ) -> (ClientOutcome, Option<f64>) {
         let request = request(message);
         let Message { id, class, dest, deadline_ms, .. } = message;
-        // The deadline counts from here, whether or not the forwarder listens.
+        // The deadline counts from here, even if the forwarder does not accept the connection yet.
         self.ledger.write(Event::sent(id, class, *dest, *deadline_ms as f64));
         let time_limit = Duration::from_millis(options.timeout_ms);
         let answer = timeout(time_limit, self.exchange(&request, options.abort_midway)).await;
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -484,7 +484,7 @@
 /// Sends a malformed answer, and records what it says of the messages as far as it can be read.
 async fn answer_malformed(connection: &mut Connection, call: &Call<'_>, kind: Malformed) -> io::Result<Next> {
     let valid = call.valid_answer();
-    // For a single message the status line decides, whatever follows it.
+    // For a single message the status line alone decides.
     let by_status = if call.batch { CallEnd::MayHaveRun } else { CallEnd::Delivered };
     let (bytes, end): (Vec<u8>, CallEnd) = match kind {
         Malformed::Garbage => (b"\x00\x01\xffno answer\r\n\r\n".to_vec(), CallEnd::MayHaveRun),
