--- a/crates/duties/src/ballot.rs
+++ b/crates/duties/src/ballot.rs
@@ -80,7 +80,7 @@
     /// long.
     pub holder_duration: Micros,
     /// Lease duration at a voter, counted from when it accepted the write: never shorter in real time than
-    /// the holder's duration, whatever the two clocks do within the drift.
+    /// the holder's duration, at any clock rates within the drift.
     pub voter_duration: Micros,
 }
 
@@ -103,7 +103,7 @@
     use super::*;
 
     #[test]
-    fn a_joint_voter_set_needs_a_majority_of_both_rosters() {
+    fn requires_a_majority_of_both_rosters_in_a_joint_voter_set() {
         let joint = VoterSet { current: [1, 2, 3].into(), previous: Some([3, 4, 5].into()) };
         assert!(!joint.is_majority(|id| id <= 2));
         assert!(joint.is_majority(|id| [1, 3, 4].contains(&id)));
@@ -112,7 +112,7 @@
     }
 
     #[test]
-    fn a_voter_counts_the_lease_longer_than_its_holder_within_the_drift() {
+    fn counts_the_lease_longer_at_a_voter_than_at_its_holder_within_the_drift() {
         for drift in [0.0, 0.01, 0.1] {
             let lease = Lease::new(1_000_000, drift);
             // Slow holder clock and fast voter clock, compared in real time.
--- a/crates/duties/src/core.rs
+++ b/crates/duties/src/core.rs
@@ -75,8 +75,8 @@
     },
     /// Passes an operator's request on to the holder.
     OperatorRequest(OperatorRequest),
-    /// Tells the members that should acquire the duty next that its holder has released it, so that they need
-    /// not wait for their next query.
+    /// Notifies the members that should acquire the duty next that its holder has released it, so that they
+    /// need not wait for their next query.
     Released {
         /// Member that the duty is pinned to.
         pinned: Option<u64>,
@@ -439,7 +439,7 @@
     pub fn tick(&mut self, now: Micros) {
         let delay = now.saturating_sub(self.tick_due);
         if self.tick_due > 0 && delay >= self.lease.holder_duration / UNFIT_DELAY_DIVISOR {
-            // The process was suspended or its loop is slow: other members do the work better.
+            // The process was suspended or its loop is slow, so other members are fitter to hold its duties.
             self.release_all(now, Reason::Unfit);
         }
         self.tick_voter(now);
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -16,7 +16,7 @@
 //! ballot receives the last accepted write from the shared voter, and continues from there.
 //!
 //! **Assumptions.** Clock rates are right within `drift`, on clocks that also count while the process or the
-//! machine is suspended. Whatever was written is on disk, or the voter knows that it may not be (see
+//! machine is suspended. Completed writes are on disk, or the voter knows that it may not be (see
 //! `voter`), and fewer than a majority of voters lose their state at a time. If a voter starts from an old
 //! copy of its folder, at least one of the voters that it hears from at startup remembers its last process.
 //! Majorities of rosters that are in force at the same time intersect, and each duty was written under one
--- a/crates/duties/src/proposer.rs
+++ b/crates/duties/src/proposer.rs
@@ -78,7 +78,7 @@
     phase: Phase,
     /// When the next query is due.
     next_query: Micros,
-    /// Highest ballot number seen so far.
+    /// Highest ballot number received so far.
     highest_number: u64,
     known: KnownState,
     /// Member that the duty is pinned to, as last reported.
@@ -245,7 +245,7 @@
         Some(self.prepare(now))
     }
 
-    /// Starts a ballot whatever is known of the duty; the voters decide whether to promise it.
+    /// Starts a ballot regardless of what is known of the duty; the voters decide whether to promise it.
     pub fn prepare(&mut self, now: Micros) -> VoterRequest {
         let ballot = Ballot { number: self.highest_number + 1, proposer: self.local };
         self.highest_number = ballot.number;
@@ -253,7 +253,7 @@
         VoterRequest::Prepare(ballot)
     }
 
-    /// Returns the highest ballot number seen so far.
+    /// Returns the highest ballot number received so far.
     pub fn highest_number(&self) -> u64 {
         self.highest_number
     }
--- a/crates/duties/src/register.rs
+++ b/crates/duties/src/register.rs
@@ -15,7 +15,7 @@
     Vacant,
     /// An operator asked the holder to release the duty.
     Asked,
-    /// The holder was told to shut down.
+    /// The holder's process was asked to shut down.
     Leaving,
     /// The holder was too slow for the work, or lost its quorum before its lease ended.
     Unfit,
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -4,14 +4,14 @@
 //! answers no requests until it knows the state of its folder:
 //!
 //! - Its folder holds its registers: it votes once all other voters, or after a lease enough of them to make
-//!   a majority with it, have said that they know of no later process of this member and of no later write.
-//! - Its folder holds registers older than what others remember (a copy from an earlier day, or from an hour
-//!   ago): it proceeds as with no registers, and erases the stored ones first, so that the next start does
-//!   not trust them.
+//!   a majority with it, have reported that they know of no later process of this member and of no later
+//!   write.
+//! - Its folder holds registers older than what others remember (a restored copy): it proceeds as with no
+//!   registers, and erases the stored ones first, so that the next start does not trust them.
 //! - Its folder holds no registers (emptied, or damaged and set aside): it votes once it has been silent for
 //!   [`Lease::silent_period`], and has then recovered from a majority of voters that does not count itself.
-//! - Its folder holds no registers, and all other voters say the same, or that they started so in this
-//!   process: it votes once it has been silent for the same period, since nothing was ever decided.
+//! - Its folder holds no registers, and each other voter reports that its folder held none either when its
+//!   process started: it votes once it has been silent for the same period, since nothing was ever decided.
 //!
 //! The silent period comes before the recovery: by then, a ballot that an earlier process of the voter
 //! promised is over, or is stored at another voter of each majority.
@@ -46,8 +46,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredVoter {
     /// Number of writes to disk over all processes of the voter. The other voters remember the highest count
-    /// that they have received, which exposes a copy from an earlier hour, even one that was started several
-    /// times before it reached another voter.
+    /// that they have received, which exposes an older copy, even one that was started several times before
+    /// it reached another voter.
     pub write_count: u64,
     /// Register of each duty.
     pub registers: BTreeMap<u64, Register>,
@@ -100,7 +100,7 @@
     registers: BTreeMap<u64, LeasedRegister>,
     /// When the next recovery request is due.
     next_request: Micros,
-    /// Number of the current recovery request; responses to earlier ones say nothing of the present.
+    /// Number of the current recovery request; responses to earlier ones are outdated and ignored.
     nonce: u64,
 }
 
@@ -372,7 +372,7 @@
         let mut voter = Voter::new(100, LOCAL, 4, LEASE, Some(stored(3)));
         let (nonce, started) = voter.tick(100, LEASE, &voters());
         assert!(!started && voter.register_mut(5).is_none());
-        let nonce = nonce.expect("asks");
+        let nonce = nonce.expect("a recovery request");
         assert!(
             !voter.handle_recovery_response(
                 101,
@@ -409,7 +409,7 @@
                     LEASE,
                     &voters(),
                     2,
-                    nonce.expect("asks"),
+                    nonce.expect("a recovery request"),
                     VOTING,
                     (Some((4, 69)), 0),
                     None,
@@ -419,7 +419,7 @@
             assert_eq!(voter.status(), VoteStatus::Silent);
             assert_eq!(voter.tick(123, LEASE, &voters()), (None, false), "still in the silent period");
             let (nonce, _) = voter.tick(126, LEASE, &voters());
-            let nonce = nonce.expect("asks");
+            let nonce = nonce.expect("a recovery request");
             let newer = stored(9).registers[&5].clone();
             // The last part arrives before the first.
             voter.handle_recovery_response(127, LEASE, &voters(), 3, nonce, VOTING, (None, 0), None, (1, 2));
@@ -456,7 +456,7 @@
     #[test]
     fn detects_an_outdated_copy_by_its_write_count_however_often_it_was_started() {
         let mut voter = Voter::new(100, LOCAL, 9, LEASE, Some(stored(3)));
-        let nonce = voter.tick(100, LEASE, &voters()).0.expect("asks");
+        let nonce = voter.tick(100, LEASE, &voters()).0.expect("a recovery request");
         assert!(!voter.handle_recovery_response(
             101,
             LEASE,
@@ -474,7 +474,7 @@
     #[test]
     fn starts_voting_with_no_registers_only_if_all_voters_have_none() {
         let mut voter = Voter::new(0, LOCAL, 1, LEASE, None);
-        let nonce = voter.tick(24, LEASE, &voters()).0.expect("asks");
+        let nonce = voter.tick(24, LEASE, &voters()).0.expect("a recovery request");
         let fresh = VoterFlags { voting: false, fresh: true };
         assert!(!voter.handle_recovery_response(
             25,
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -1,5 +1,5 @@
 //! The fleet document: the configured members, their addresses, shared limits and duties. A document is
-//! accepted as a whole or rejected with a diagnostic for every fault.
+//! accepted in full or rejected with a diagnostic for every fault.
 //!
 //! ```
 //! let text = r#"
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -118,8 +118,8 @@
     }
 
     /// Returns what this process may do now, by the clock read in this call. Call it as the last step before
-    /// sending: a process that was stopped since it last received anything then gets the permits of one that
-    /// knows nothing.
+    /// sending: a process that was stopped since its last input then gets the permits of one whose state is
+    /// not known.
     pub fn permits(&self) -> Permits {
         self.core().permits(clock::now())
     }
@@ -140,8 +140,8 @@
         self.0.outages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides whether a call to a destination may begin now, by the waits that the destination asked any
-    /// member for, by the outages that members found, and by the shared limits. Call it as the last step
+    /// Decides whether a call to a destination may begin now, by the waits that the destination returned to
+    /// any member, by the outages that members found, and by the shared limits. Call it as the last step
     /// before the first byte. `is_retry`: every message in the call has been attempted before.
     /// `was_deferred`: this call was deferred before.
     ///
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -71,8 +71,8 @@
     pub senders: usize,
     /// The members of the roster, the forwarder included, by name.
     pub members: Vec<MemberStatus>,
-    /// Numbers of rejected inputs: packets of unknown senders, impossible updates, and support that was not
-    /// asked for or is of an earlier boot.
+    /// Numbers of rejected inputs: packets of unknown senders, implausible updates, and grants of support
+    /// that were not requested or are of an earlier boot.
     #[serde(rename = "refused")]
     pub rejected: [u64; 3],
     /// Numbers of dropped packets: malformed ones, and those from addresses of no member.
@@ -267,8 +267,7 @@
 }
 
 impl KnowledgeStatus {
-    /// Reports the state of `waits` and `outages`. `is_syncing`: a snapshot is still
-    /// awaited.
+    /// Reports the state of `waits` and `outages`. `is_syncing`: a snapshot is still awaited.
     pub fn new(
         waits: &WaitTable,
         outages: &OutageDetector,
--- a/crates/knowledge/src/credit.rs
+++ b/crates/knowledge/src/credit.rs
@@ -49,10 +49,10 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever an origin reports and when, it delays calls for no more than its credit and a fraction of
-        /// the time.
+        /// With any reports at any times, an origin delays calls for no more than its credit and a fraction
+        /// of the time.
         #[test]
-        fn one_origin_delays_for_at_most_its_credit_and_a_fraction_of_the_time(
+        fn bounds_the_delay_that_one_origin_causes(
             reports in proptest::collection::vec((0..20_000_000u64, 0..90_000_000u64), 1..60),
         ) {
             let start = 1_000_000;
--- a/crates/knowledge/src/findings.rs
+++ b/crates/knowledge/src/findings.rs
@@ -118,7 +118,7 @@
     use super::*;
 
     #[test]
-    fn an_outage_takes_enough_failures_over_enough_time() {
+    fn requires_enough_failures_over_enough_time_for_an_outage() {
         let mut history = CallHistory::default();
         (0..50).for_each(|n| history.record(n, CallOutcome::Failed));
         assert_eq!(history.outage(100), None, "all within too short a time");
--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -27,7 +27,7 @@
 //! for report in sender.updates_to_send(2_000_000, 8, 2) {
 //!     receiver.receive(900, &report);
 //! }
-//! // Four seconds remained when the report was sent, whatever the receiver's clock reads.
+//! // Four seconds remained when the report was sent; the receiver's clock may read any other time.
 //! assert_eq!(receiver.wait(900, 10), Some(4_000_000));
 //! assert_eq!(receiver.wait(4_000_901, 10), None);
 //! ```
--- a/crates/knowledge/src/outages.rs
+++ b/crates/knowledge/src/outages.rs
@@ -5,10 +5,11 @@
 //!   contradict.
 //! - **One member probes.** Of the origins with recent findings, the one with the lowest hash calls once per
 //!   probe interval; the others defer their calls and rely on its report. Where no finding is recent, or a
-//!   member has deferred for long, it probes on its own at random: with probability one in the number of
-//!   members, doubling over time, so that few members probe at once and none waits for ever.
-//! - **Recovering** counts from a time that all members share: what all may send grows from there along one
-//!   ramp.
+//!   member has deferred for long, it probes on its own at random: with a probability of one over the
+//!   number of members, which doubles over time, so that few members probe at once and the wait of each is
+//!   bounded.
+//! - **Recovering** counts from a time that all members share: the rate that they may send together grows
+//!   from there along one ramp.
 //!
 //! Findings are evidence with an age, not commands: a member's own calls outrank them, and an origin that
 //! wrongly reported a recovery is not believed alone the next time.
@@ -567,7 +568,7 @@
     /// Without recent findings members with calls probe at random, few at a time, and one does so in bounded
     /// time.
     #[test]
-    fn without_recent_findings_few_members_probe_within_bounded_time() {
+    fn probes_at_random_within_bounded_time_without_recent_findings() {
         let mut first_probes = Vec::new();
         for fleet in 0..20u64 {
             let mut all: Vec<OutageDetector> = (0..300).map(|n| member(fleet * 1000 + n, 300)).collect();
@@ -596,7 +597,7 @@
     }
 
     #[test]
-    fn expired_state_is_dropped() {
+    fn drops_expired_state() {
         let mut local = member(1, 5);
         local.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
         local.updates_to_send(200 * S, 24, 5);
@@ -606,7 +607,7 @@
     }
 
     #[test]
-    fn own_calls_outrank_findings_of_others_and_one_origin_alone_has_no_effect() {
+    fn prefers_own_calls_to_findings_of_others_and_ignores_a_single_origin() {
         let mut local = member(1, 5);
         local.record_call_end(100 * S, DEST, 99 * S, CallOutcome::Served);
         for origin in [2, 3] {
@@ -642,7 +643,7 @@
 
     /// An origin that wrongly reports a recovery is believed once, and then not alone for some time.
     #[test]
-    fn an_origin_that_wrongly_reports_a_recovery_is_not_believed_alone_the_next_time() {
+    fn distrusts_an_origin_after_a_wrong_recovery_report() {
         let mut local = member(1, 5);
         let mut believed = 0;
         for n in 0..100u64 {
@@ -665,7 +666,7 @@
         /// Findings received at the same time result in the same state in any order and however often they
         /// are repeated.
         #[test]
-        fn the_order_of_findings_does_not_matter(
+        fn merges_findings_in_any_order(
             reports in proptest::collection::vec((2..6u64, 1..5u64, any::<bool>()), 0..12),
             seed in any::<u64>(),
         ) {
@@ -694,10 +695,10 @@
             }
         }
 
-        /// Whatever others report, a member with calls probes within a bounded time, and the state kept for
-        /// reports is bounded.
+        /// Under any reports of others, a member with calls probes within a bounded time, and the state kept
+        /// for reports is bounded.
         #[test]
-        fn reports_of_others_neither_starve_a_member_nor_fill_its_memory(
+        fn bounds_deferral_and_memory_under_any_reports(
             reports in proptest::collection::vec((2..40u64, 0..20_000u64, any::<bool>(), 0..50u64), 0..300),
         ) {
             let mut local = member(1, 30);
--- a/crates/knowledge/src/waits.rs
+++ b/crates/knowledge/src/waits.rs
@@ -240,7 +240,7 @@
     const S: Micros = 1_000_000;
 
     #[test]
-    fn a_wait_reaches_other_and_new_members_and_ends() {
+    fn spreads_a_wait_to_other_and_new_members_until_it_ends() {
         let mut table = WaitTable::new(1, 1, 1);
         let (mut second, mut late) = (WaitTable::new(2, 1, 2), WaitTable::new(3, 1, 3));
         table.record_wait(0, 10, 30 * S);
@@ -258,7 +258,7 @@
     }
 
     #[test]
-    fn a_served_call_outranks_older_reports() {
+    fn ends_waits_reported_before_a_served_call() {
         let mut table = WaitTable::new(1, 1, 1);
         let report = WaitReport { dest: 10, origin: 2, version: (1, 1), remaining: 20 * S };
         table.receive(5 * S, &report);
@@ -273,7 +273,7 @@
     /// A faulty origin that reports the longest wait again and again delays calls for a minute, then a
     /// quarter of the time.
     #[test]
-    fn the_effect_of_a_faulty_origin_is_bounded() {
+    fn bounds_the_effect_of_a_faulty_origin() {
         let mut table = WaitTable::new(1, 1, 1);
         table.receive(0, &WaitReport { dest: 10, origin: 2, version: (1, 0), remaining: 3600 * S });
         assert_eq!((table.wait(0, 10), table.rejected()), (None, 1));
@@ -292,7 +292,7 @@
     }
 
     #[test]
-    fn state_kept_for_reports_is_bounded() {
+    fn bounds_state_kept_for_reports() {
         let mut table = WaitTable::new(1, 1, 1);
         for n in 0..20_000 {
             table.receive(0, &WaitReport { dest: n, origin: 2, version: (1, 1), remaining: 60 * S });
@@ -308,7 +308,7 @@
         /// Reports received at the same time result in the same state in any order and however often they are
         /// repeated.
         #[test]
-        fn the_order_of_reports_does_not_matter(
+        fn merges_reports_in_any_order(
             reports in proptest::collection::vec((0..3u64, 2..5u64, 0..4u64, 0..60u64), 0..12),
             seed in any::<u64>(),
         ) {
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -467,8 +467,8 @@
     // ---- Internals ----
 
     /// Advances the clock and returns it; it never goes back. A call that comes a period or more after it was
-    /// due shows that this process was stopped: missing packets then say nothing about the other members, and
-    /// the state is not confirmed until one of them answers a probe.
+    /// due shows that this process was stopped: missing packets are then no evidence against the other
+    /// members, and the state is not confirmed until one of them answers a probe.
     fn advance_clock(&mut self, now: Micros) -> Micros {
         let now = now.max(self.last_run);
         let late = now.saturating_sub(self.next_due.max(self.last_run));
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,13 +1,13 @@
-//! Probes, suspicion and local health: SWIM with the Lifeguard extensions. The detector knows no packets; it
-//! returns the actions to carry out.
+//! Probes, suspicion and local health: SWIM with the Lifeguard extensions. The detector handles no
+//! packets itself; it returns the actions to carry out.
 
 use crate::id::{MemberId, Micros};
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of helpers that are asked for an indirect probe when the direct one is not answered. The same
-/// number of further helpers is asked when the indirect probes are not answered either.
+/// Number of helpers that are asked for an indirect probe when the direct one is not answered. As many
+/// further helpers are asked when the indirect probes are not answered either.
 pub const INDIRECT_PROBES: usize = 3;
 /// Maximum of the local health score (0 is healthy); own time-outs are multiplied by the score plus one.
 /// Lifeguard limits it to 8; here a process detects by its own clock that it was slow, and in a small
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -38,7 +38,7 @@
 }
 
 /// A record about a member. Records are totally ordered and the greater one counts, so that merging is
-/// commutative, associative and idempotent, in whatever order records arrive.
+/// commutative, associative and idempotent, and records may arrive in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Version of the record.
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Exclusive actions require the support of a majority, whatever the other facts are.
+    /// Exclusive actions require the support of a majority, regardless of the other facts.
     #[test]
     fn permits_exclusive_actions_only_with_majority_support() {
         for bits in 0..32u32 {
--- a/crates/membership/src/support.rs
+++ b/crates/membership/src/support.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns this voter with all times shifted back by `back`, where `now` is the shifted time. Expired
-    /// promises are set to expire at `now`. A state space search uses this to treat states that differ only
+    /// promises are set to expire at `now`. A state-space search uses this to treat states that differ only
     /// in time as equal.
     pub fn rebased(&self, now: Micros, back: Micros) -> Self {
         let promised_until = self.promised_until.saturating_sub(back).max(now);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -4,9 +4,9 @@
 //! **Rule.** When the set of present members (alive or suspected) differs from the view, it becomes the view
 //! once it has been unchanged for `settle` and no member is suspected, or at the latest `max_settle` after
 //! the difference began. A suspicion is a pending change, so it is waited for, as Rapid waits between its two
-//! watermarks; the bound keeps a flapping member from delaying the others. A member that has gone three times
-//! within [`FLAP_WINDOW`] must be present before it counts again, for a time that doubles with each further
-//! failure, up to [`MAX_DAMPING`] settling times.
+//! watermarks; the bound keeps a flapping member from delaying the others. A member that has failed three
+//! times within [`FLAP_WINDOW`] counts as present again only after it has been present without a break for a
+//! time that doubles with each further failure, up to [`MAX_DAMPING`] settling times.
 
 use crate::id::{MemberId, Micros, ViewId};
 use crate::roster::RosterRef;
