--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -49,7 +49,7 @@
 pub enum RecoveryMode {
     /// Members share reports: one of them probes, and all follow one slow start.
     Coordinated,
-    /// Each member goes by its own calls: it detects the outage, probes and follows a slow start for itself.
+    /// Each member relies on its own calls: it detects the outage, probes and follows a slow start alone.
     Independent,
 }
 
--- a/crates/checker/src/outages.rs
+++ b/crates/checker/src/outages.rs
@@ -72,7 +72,7 @@
         let known = entry.at + params.recovery.detect_ms;
         let calls_while_down = calls.iter().filter(|at| (known..back).contains(*at)).count();
         // One process probes in each interval. Half as many more are allowed for the others, which probe for
-        // themselves now and then or begin a call before the report reaches them.
+        // themselves occasionally or begin a call before the report reaches them.
         let allowed_while_down =
             size as f64 + (back - known).max(0.0) / params.recovery.probe_interval_ms * 1.5;
         let cold: Vec<f64> = calls
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -81,7 +81,7 @@
     /// Seed of the pseudorandom choices of protocols.
     pub seed: u64,
     /// Slow start of destinations after an outage. `None`: members do not report outages to each other, and
-    /// each one goes by its own calls.
+    /// each one relies on its own calls.
     pub slow_start: Option<SlowStart>,
 }
 
--- a/crates/knowledge/src/waits.rs
+++ b/crates/knowledge/src/waits.rs
@@ -270,7 +270,7 @@
         assert_eq!(table.wait(8 * S, 10), None, "the same version is ignored");
     }
 
-    /// A faulty origin that reports the longest wait again and again delays calls for a minute, then a
+    /// A faulty origin that reports the longest wait repeatedly delays calls for a minute, then a
     /// quarter of the time.
     #[test]
     fn bounds_the_effect_of_a_faulty_origin() {
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -136,7 +136,7 @@
     /// Probes on behalf of other members, by local sequence number.
     forwards: BTreeMap<u64, Forward>,
     /// For each member that answered through a helper, that helper. If a single member connects two halves of
-    /// a fleet, helpers drawn at random would miss it again and again.
+    /// a fleet, helpers drawn at random would miss it repeatedly.
     proven_helpers: BTreeMap<MemberId, MemberId>,
     /// Sequence number and target of the last failed probe: an answer may still come through a helper.
     last_failed: Option<(u64, MemberId)>,
--- a/crates/rig/src/fleet/play.rs
+++ b/crates/rig/src/fleet/play.rs
@@ -318,7 +318,7 @@
     EndDuplicate(usize),
     /// A destination of these processes, given by its index, recovers cold.
     RecoverDestination(Vec<usize>, usize),
-    /// Cuts or mends all links of a flapping process, every `interval_ms` until `until`.
+    /// Cuts or restores all links of a flapping process, every `interval_ms` until `until`.
     ToggleLinks { process: usize, cut: bool, interval_ms: f64, until: Instant },
 }
 
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -31,7 +31,7 @@
     Weather(LinkQuality),
     /// Sets the quality of the direction from the first process to the second.
     Link(usize, usize, LinkQuality),
-    /// Mends all links and resets their quality.
+    /// Restores all links and resets their quality.
     Heal,
     /// Pauses a process by SIGSTOP and resumes it by SIGCONT after this duration.
     Stall(usize, f64),
@@ -41,7 +41,7 @@
     Terminate(usize),
     /// Restarts a process that has ended.
     Start(usize, StateFolder),
-    /// Cuts and mends all links of a process in turn, at this interval and for this duration.
+    /// Cuts and restores all links of a process in turn, at this interval and for this duration.
     Flap(usize, f64, f64),
     /// Sends this number of invalid packets to a process, from an address that is not in the roster.
     Flood(usize, usize),
@@ -247,7 +247,7 @@
             acts.push((at, act));
             at += if rng.random_bool(0.3) { 1.0 } else { rng.random_range(1.0..15.0) * period };
         }
-        // At the end all links are mended and all processes run.
+        // At the end all links are restored and all processes run.
         at += 45.0 * period;
         acts.push((at, FleetAct::Heal));
         acts.extend(dead.into_iter().map(|n| (at, FleetAct::Start(n, StateFolder::Kept))));
