--- a/crates/attack/src/returns.rs
+++ b/crates/attack/src/returns.rs
@@ -18,6 +18,7 @@
 
 /// Probe period from which all other timings are derived (microseconds).
 const PERIOD: Micros = 1_000_000;
+/// Drift bound of clock rates.
 const DRIFT: f64 = 0.01;
 /// Destination id.
 const DEST: u64 = 7;
@@ -48,7 +49,7 @@
 pub enum RecoveryMode {
     /// Members share reports: one of them probes, and all follow one slow start.
     Coordinated,
-    /// Each member goes by its own calls: it detects the outage, probes and follows a slow start for itself.
+    /// Each member relies on its own calls: it detects the outage, probes and follows a slow start alone.
     Independent,
 }
 
--- a/crates/rig/src/fleet/scene.rs
+++ b/crates/rig/src/fleet/scene.rs
@@ -31,7 +31,7 @@
     Weather(LinkQuality),
     /// Sets the quality of the direction from the first process to the second.
     Link(usize, usize, LinkQuality),
-    /// Mends all links and resets their quality.
+    /// Restores all links and resets their quality.
     Heal,
     /// Pauses a process by SIGSTOP and resumes it by SIGCONT after this duration.
     Stall(usize, f64),
@@ -41,7 +41,7 @@
     Terminate(usize),
     /// Restarts a process that has ended.
     Start(usize, StateFolder),
-    /// Cuts and mends all links of a process in turn, at this interval and for this duration.
+    /// Cuts and restores all links of a process in turn, at this interval and for this duration.
     Flap(usize, f64, f64),
     /// Sends this number of invalid packets to a process, from an address that is not in the roster.
     Flood(usize, usize),
@@ -74,7 +74,7 @@
     Down(usize, f64),
 }
 
-/// How processes keep to a limit that they share.
+/// How processes divide a limit that they share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Sharing {
     /// By rights that they lend and borrow.
@@ -247,7 +247,7 @@
             acts.push((at, act));
             at += if rng.random_bool(0.3) { 1.0 } else { rng.random_range(1.0..15.0) * period };
         }
-        // At the end all links are mended and all processes run.
+        // At the end all links are restored and all processes run.
         at += 45.0 * period;
         acts.push((at, FleetAct::Heal));
         acts.extend(dead.into_iter().map(|n| (at, FleetAct::Start(n, StateFolder::Kept))));
@@ -380,7 +380,10 @@
         "islands" if numbers.len() == size => {
             FleetAct::Islands(numbers.iter().map(|n| *n as usize).collect())
         }
-        "islands" => return Err(error("needs a group number for each process")),
+        "islands" => {
+            let count = numbers.len();
+            return Err(error(&format!("needs {size} group numbers, one for each process, and has {count}")));
+        }
         "weather" => FleetAct::Weather(quality()),
         "link" => FleetAct::Link(process(0)?, process(1)?, quality()),
         "heal" => FleetAct::Heal,
@@ -391,7 +394,9 @@
             None | Some("kept") => FleetAct::Start(process(0)?, StateFolder::Kept),
             Some("emptied") => FleetAct::Start(process(0)?, StateFolder::Emptied),
             Some("old") => FleetAct::Start(process(0)?, StateFolder::Old),
-            Some(_) => return Err(error("folder must be kept, emptied or old")),
+            Some(folder) => {
+                return Err(error(&format!("folder is {folder:?}; it must be kept, emptied or old")));
+            }
         },
         "flap" => FleetAct::Flap(process(0)?, amount(1)?, amount(2)?),
         "flood" => FleetAct::Flood(process(0)?, amount(1)? as usize),
