--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -20,7 +20,7 @@
     pub(crate) dest: DestId,
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
-    /// Number of messages that may travel in one call.
+    /// Maximum number of messages in one call.
     pub(crate) max_batch: usize,
     pub(crate) calls_in_flight: usize,
     /// Whether the endpoint is listed as in service.
--- a/crates/engine/src/engine/commit.rs
+++ b/crates/engine/src/engine/commit.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Refuses a message that is not recorded as accepted: its clients are told to retry, unless they have
-    /// disconnected, and the decision module drops it.
+    /// Refuses a message that is not recorded as accepted: the answer asks its clients to retry, unless they
+    /// have disconnected, and the decision module drops it.
     pub(super) fn refuse_unrecorded(&mut self, id: MessageId) {
         if let Some(mut message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Closes a message whose clients disconnected before they could be told that it was accepted.
+    /// Closes a message whose clients disconnected before they received the answer that it was accepted.
     pub(super) fn close_abandoned(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(&id) {
             self.ids.remove(&message.accepted.id);
--- a/crates/engine/src/engine/mod.rs
+++ b/crates/engine/src/engine/mod.rs
@@ -34,9 +34,9 @@
 };
 use yarrowhill_settings::{Names, index_of};
 
-/// Number of clients that may wait for the answer to one message.
+/// Maximum number of clients that may wait for the answer to one message.
 const MAX_CLIENTS_PER_MESSAGE: usize = 4;
-/// Number of notices in one request.
+/// Maximum number of notices in one request.
 const MAX_NOTICES_PER_BATCH: usize = 64;
 /// Time for which a client waits for its answer (microseconds; PROTOCOL, "Clients to forwarders"). An
 /// accepted message was sent at most this long before it was read, so that it expires at the client at most
@@ -49,7 +49,7 @@
 /// Interval at which shards report their arrivals to each other (microseconds). The division of tenants'
 /// quotas is exact except for what arrived since the last report.
 const SHARE_REPORT_INTERVAL_US: Micros = 250_000;
-/// A call begins at most this long after its connection time-out (microseconds).
+/// A call begins at most this long after its connect timeout (microseconds).
 const BEGIN_SLACK_US: Micros = 400_000;
 /// Time after the start for which nothing is sent while discovery's agent has not answered (microseconds). It
 /// may have reported to the previous process a drain that the configured list does not contain.
--- a/crates/engine/src/gate.rs
+++ b/crates/engine/src/gate.rs
@@ -1,4 +1,4 @@
-//! Permissions of the whole process, checked right before each action.
+//! Permissions of the process, checked right before each action.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -40,6 +40,6 @@
     Wait(Duration),
     /// The call was refused, or answered in another way that shows the destination to be reachable.
     Refused,
-    /// There was no connection, no answer in time, an unreadable answer, or an answer that reports a failure.
+    /// There was no connection, no response in time, a malformed response, or one that reports a failure.
     Failed,
 }
--- a/crates/http/src/calls.rs
+++ b/crates/http/src/calls.rs
@@ -22,7 +22,7 @@
 use yarrowhill_settings::parse_limit_report;
 
 /// Longest time that the gate may delay a call, which occupies a slot and a connection meanwhile, before its
-/// messages return to the policy.
+/// messages return to the decision module.
 #[cfg(feature = "gate")]
 const MAX_ADMISSION_DELAY: Duration = Duration::from_millis(250);
 /// A step that takes longer than expected by this much does so because the process was suspended.
@@ -33,7 +33,7 @@
 /// what it contains is binding whether it is read or not: a wait counts as announced when it is written.
 const MIN_CANCEL_AGE: Duration = Duration::from_millis(250);
 /// Where another endpoint can take the messages, a call waits for its connection only for the connect
-/// time-out divided by this.
+/// timeout divided by this.
 const EARLY_CONNECT_DIVISOR: u32 = 4;
 /// Longest response body that is read.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
@@ -110,7 +110,7 @@
         // Last check before a byte is written: the process may have been suspended since the decision.
         let request = request(&pending.waiting, pending.call.address).filter(|_| gate.may_send());
         let (Some(request), Some(open)) = (request, &mut connection) else {
-            // Every attempt must be reported to the policy: one that never ends occupies its slot for ever.
+            // Every attempt must be reported to the engine: one that never ends occupies its slot for ever.
             pending.end_matching(Outcome::NotSent, |_| true);
             check_in.put_back(connection);
             return pending.report().await;
@@ -199,7 +199,7 @@
     waiting: Vec<Item>,
     /// Ends to report.
     ended: Vec<AttemptEnd>,
-    /// Messages whose ends are in `ended` and come from a time-out or a command.
+    /// Messages whose ends are in `ended` and come from a timeout or a command.
     ended_items: Vec<Item>,
     /// Whether a message was written and had no response by its deadline.
     is_late: bool,
@@ -233,9 +233,9 @@
                 }
                 Some(command) = self.call.commands.recv() => self.apply(command, stage),
             }
-            // Guards the rule on second copies where none is allowed: the policy may immediately resend a
-            // message whose attempt has ended, while this call still counts as in progress for it. So all
-            // attempts end together.
+            // Guards the rule on second copies where none is allowed: the decision module may immediately
+            // resend a message whose attempt has ended, while this call still counts as in progress for it.
+            // So all attempts end together.
             if !self.call.may_overlap_attempts
                 && stage == Stage::Written
                 && let Some(outcome) = self.ended.first().map(|end| end.outcome)
@@ -287,7 +287,7 @@
     }
 
     /// Ends all attempts of a deferred call that is not written. Guards the rules on waits and drains: a
-    /// connection may take the full time-out to open, and a call decided on before would then be written
+    /// connection may take the full timeout to open, and a call decided on before would then be written
     /// within a wait, or long after the drain was announced.
     fn apply_deferral(&mut self, stage: Stage) {
         if self.is_deferred && stage == Stage::Connecting {
@@ -306,8 +306,8 @@
     }
 
     /// Waits until the limit that several processes share admits the call. Messages that are not admitted
-    /// within [`MAX_ADMISSION_DELAY`] return to the policy: another endpoint's connection, or another
-    /// message, may make better use of the slot.
+    /// within [`MAX_ADMISSION_DELAY`] return to the decision module: another endpoint's connection, or
+    /// another message, may make better use of the slot.
     #[cfg(feature = "gate")]
     async fn admit(&mut self, gate: &GateHandle) {
         let since = Instant::now();
@@ -492,7 +492,7 @@
     let is_batch = request.uri().path() == "/hook/batch";
     match open.send(request, begin_by).await {
         Ok(response) => read(response, is_batch).await,
-        // The status line is valid, whatever followed it.
+        // The status line is valid regardless of what followed it.
         Err(SendError::Malformed | SendError::MayHaveArrived)
             if !is_batch && open.status() == Some(StatusCode::OK) =>
         {
@@ -504,8 +504,8 @@
     }
 }
 
-/// Reads a response to its end. A truncated response is malformed: whatever its status, the call may have
-/// run. Only a 200 for a single message is valid as soon as its status line has arrived.
+/// Reads a response to its end. A truncated response is malformed: the call may have run, regardless of
+/// its status. Only a 200 for a single message is valid as soon as its status line has arrived.
 async fn read(response: Response<Incoming>, is_batch: bool) -> Result<CallResponse, CallError> {
     let headers = response.headers();
     let mut result = CallResponse {
@@ -539,7 +539,7 @@
     ms.parse::<f64>().ok().filter(|ms| *ms > 0.0).map(|ms| (ms.min(MAX_WAIT_MS) * 1000.0) as Micros)
 }
 
-/// Parses a load report. A malformed value does not hide the others.
+/// Parses a limit report. A malformed value does not hide the others.
 fn parse_report(values: &str) -> Option<LimitReport> {
     let pairs = values.split(',').filter_map(|pair| pair.trim().split_once('='));
     parse_limit_report(pairs.filter(|(_, value)| value.parse().is_ok_and(f64::is_finite)))
@@ -569,8 +569,8 @@
         AttemptEnd { finished, report: response.report, wait: response.wait, ..end(item, outcome) }
     });
     let mut ended: Vec<AttemptEnd> = ended.collect();
-    // The policy judges a call by the last end that is reported of it: a few accepted messages must not hide
-    // that the others were refused or failed.
+    // The decision module judges a call by the last end that is reported of it: a few accepted messages must
+    // not hide that the others were refused or failed.
     ended.sort_by_key(|e| match e.outcome {
         Outcome::Delivered => 0,
         Outcome::NotSent => 1,
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,5 +1,5 @@
-//! Client connections: how many there are, which one is evicted when room runs short, and how each of them is
-//! closed.
+//! Client connections: the limit on their number, the eviction of idle ones when room runs short, and how
+//! each of them is closed.
 //!
 //! A connection is never just dropped. Closing a socket that holds unread bytes resets the connection, and
 //! the client may lose a response that it has not read yet. So the sending side is shut down first, which
@@ -30,7 +30,7 @@
 /// Size of a connection's read buffer. Even with many slow clients the buffers stay far below the memory
 /// limit.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Idle time-out of a connection between requests.
+/// Idle timeout of a connection between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Time limit for a request head, the idle time before it included. Together with the time limit for a body
 /// this closes the connection of a client that sends no complete request within 3 s.
@@ -89,7 +89,7 @@
 struct Clients {
     max_open: usize,
     open: Vec<Client>,
-    /// Tasks of refused and evicted connections, the oldest first. Each ends soon by itself, or is aborted
+    /// Tasks of refused and evicted connections, the oldest first. Each ends by itself, or is aborted
     /// when there are too many.
     closing: Vec<AbortHandle>,
     max_closing: usize,
@@ -220,7 +220,7 @@
         self.open.push(Client { state, task });
     }
 
-    /// Refuses a connection with a 503 response, whatever the client sends.
+    /// Refuses a connection with a 503 response, regardless of what the client sends.
     fn refuse(&mut self, stream: TcpStream) {
         // The response fits into the socket's empty send buffer. An error means that the client is gone.
         let _ = stream.try_write(OVERLOADED_RESPONSE);
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -172,7 +172,7 @@
     }
 
     /// Sends one request and waits for the head of its response. A head that has begun and does not end
-    /// within [`RESPONSE_TIMEOUT`] is malformed: it would occupy its slot until the call's time-out.
+    /// within [`RESPONSE_TIMEOUT`] is malformed: it would occupy its slot until the call's timeout.
     ///
     /// The first byte is written before `begin_by` or not at all: the process may be suspended at any point
     /// before.
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -15,17 +15,18 @@
 use tokio::time::{Instant, timeout};
 use yarrowhill_engine::{EndpointList, Input};
 
+/// Time limit for a connection to discovery to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest list that is read.
+/// Maximum length of a list in bytes.
 const MAX_LIST_BYTES: usize = 8 << 20;
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("no answer in time")]
-    TimedOut,
-    #[error("connection closed before the answer was complete")]
+    #[error("no response within {0:?}")]
+    TimedOut(Duration),
+    #[error("connection closed before the response was complete")]
     ConnectionLost,
     #[error("unexpected status {0}")]
     Status(StatusCode),
@@ -37,7 +38,7 @@
     /// Classifies the error by what it says about the requested version.
     fn kind(&self) -> FailureKind {
         match self {
-            WatchError::Connect(_) | WatchError::TimedOut | WatchError::ConnectionLost => {
+            WatchError::Connect(_) | WatchError::TimedOut(_) | WatchError::ConnectionLost => {
                 FailureKind::Unavailable
             }
             WatchError::Status(status)
@@ -62,7 +63,7 @@
     pub seed: u64,
 }
 
-/// Watches the endpoint list without end and passes each answer to the engine in the order received. When the
+/// Watches the endpoint list without end and passes each list to the engine in the order received. When the
 /// address changes, the watch at the old address is cancelled and the full list is requested from the new
 /// one, because the old service may have fallen behind.
 pub async fn watch(mut address: watch::Receiver<SocketAddr>, config: WatchConfig, engine: Sender<Input>) {
@@ -79,7 +80,7 @@
         let result = tokio::select! {
             biased;
             result = timeout(request.timeout, fetch(to, request, &mut connection)) => {
-                result.unwrap_or(Err(WatchError::TimedOut))
+                result.unwrap_or(Err(WatchError::TimedOut(request.timeout)))
             }
             Ok(()) = address.changed() => {
                 connection = None;
@@ -97,7 +98,7 @@
             }
             Err(e) => {
                 tracing::warn!("discovery request to {to} failed: {e}");
-                // After an answer with an error status the connection is still usable.
+                // After a response with an error status the connection is still usable.
                 if !matches!(e, WatchError::Status(_)) {
                     connection = None;
                 }
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -11,7 +11,9 @@
 use tokio::time::{sleep, timeout};
 use yarrowhill_engine::{Input, Notice};
 
+/// Time limit for a connection to the platform to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for the complete response to a batch.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay between a failed attempt and the next.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -15,7 +15,7 @@
 use yarrowhill_policy::api::DestId;
 use yarrowhill_policy::api::EndpointId;
 
-/// An idle connection is closed earlier than the peer's idle time-out by the time-out divided by this, so
+/// An idle connection is closed earlier than the peer's idle timeout by the timeout divided by this, so
 /// that no request crosses the peer's close.
 const IDLE_MARGIN_DIVISOR: u32 = 8;
 
@@ -138,10 +138,10 @@
 
 impl Pool {
     /// Creates a pool of at most `max_idle` idle connections, each kept for a little less than the peers'
-    /// idle time-out `idle_close`.
-    pub fn new(max_idle: usize, idle_close: Duration) -> Self {
+    /// idle timeout `idle_timeout`.
+    pub fn new(max_idle: usize, idle_timeout: Duration) -> Self {
         let state = PoolState { endpoints: HashMap::new(), idle: 0, opening: 0, max_idle };
-        let max_idle_age = idle_close - idle_close / IDLE_MARGIN_DIVISOR;
+        let max_idle_age = idle_timeout - idle_timeout / IDLE_MARGIN_DIVISOR;
         Pool { state: Arc::new(Mutex::new(state)), max_idle_age, gate: GateHandle::default() }
     }
 
--- a/crates/http/src/schedule.rs
+++ b/crates/http/src/schedule.rs
@@ -1,11 +1,11 @@
 //! Decides when to request the endpoint list, how long a watch may wait, and when to retry after a failure.
 //! Performs no I/O: the caller passes in the result of each request.
 //!
-//! Many forwarders poll one discovery service, and none knows of the others. One alone does no harm; all
-//! together, requesting and retrying in step, keep the service overloaded for good. The interval between
-//! requests therefore follows from the size of the fleet, which every forwarder is configured with, and
-//! randomness takes the forwarders out of step (exponential back-off with equal jitter: half of each delay is
-//! fixed, half is random).
+//! Many forwarders poll one discovery service without coordination. The requests of one forwarder are
+//! harmless, but if all of them request and retry at the same times, the service stays overloaded. The
+//! interval between requests is therefore derived from the size of the fleet, which every forwarder is
+//! configured with, and random delays spread the requests (exponential back-off with equal jitter: half of
+//! each delay is fixed, half is random).
 
 use rand::{Rng, RngExt};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 #[cfg(test)]
 const ASSUMED_KNOWN_AFTER: Duration = Duration::from_secs(6);
 /// Longest time from the start of a request that fails to the start of its retry. What then remains of
-/// `ASSUMED_KNOWN_AFTER` is enough for the answer to the retry.
+/// `ASSUMED_KNOWN_AFTER` is enough for the response to the retry.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(3300);
 /// Average time between two new watches of all forwarders of a fleet, whether they all start or all fail at
 /// once.
@@ -33,12 +33,12 @@
 /// In a large fleet the first delay is the request interval divided by this: a first failure most likely hits
 /// all forwarders at once.
 const BACK_OFF_DIVISOR: u32 = 4;
-/// Time-out of an answer that is due at once: from a local agent, or from a watch that continues, after its
+/// Timeout of a response that is due at once: from a local agent, or from a watch that continues, after its
 /// wait.
 const PROMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time-out of a new watch on a shared discovery service. Long, because the service rejects what it cannot
-/// answer within 2 s, so that an accepted request is answered; a request that is abandoned sooner costs the
-/// service as much, and is then sent once more.
+/// Timeout of a new watch on a shared discovery service. Long, because the service rejects what it cannot
+/// answer within 2 s, so that an accepted request gets a response; a request that is abandoned sooner costs
+/// the service as much, and is then sent once more.
 const QUEUED_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// A request for the endpoint list.
@@ -48,16 +48,16 @@
     pub version: Option<u64>,
     /// How long discovery may wait for a change; zero without a known version.
     pub wait: Duration,
-    /// Time after the request at which it fails if no answer has come.
+    /// Time after the request at which it fails if no response has come.
     pub timeout: Duration,
 }
 
 /// How a request for the list failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The known version may still be valid: there was no connection, no answer, or a temporary rejection.
+    /// The known version may still be valid: there was no connection, no response, or a temporary rejection.
     Unavailable,
-    /// The answer for the known version cannot be used; the next request asks for the full list.
+    /// The response for the known version cannot be used; the next request asks for the full list.
     Unusable,
 }
 
@@ -70,7 +70,7 @@
     is_watching: bool,
     /// Average time between two requests of this forwarder when all forwarders of the fleet request.
     interval: Duration,
-    /// Time-out of a new watch.
+    /// Timeout of a new watch.
     first_timeout: Duration,
     rng: R,
 }
--- a/crates/http/tests/calls.rs
+++ b/crates/http/tests/calls.rs
@@ -65,7 +65,7 @@
     (listener, queued)
 }
 
-/// Guards the lifetime of a key: the policy decides in time, but the connection opens only when the
+/// Guards the lifetime of a key: the decision is in time, but the connection opens only when the
 /// destination has forgotten the key. The messages of the call that may still begin are sent alone.
 #[tokio::test]
 async fn does_not_write_a_message_that_may_no_longer_begin_when_the_connection_opens() {
@@ -250,7 +250,7 @@
 }
 
 /// A status line with 200 delivers a message, even if its deadline passes before the rest of the response. If
-/// it counted as a time-out, a message that must not run twice would fail, and one that may would be sent
+/// it counted as a timeout, a message that must not run twice would fail, and one that may would be sent
 /// again.
 #[tokio::test]
 async fn a_status_line_just_before_the_deadline_delivers() {
@@ -361,7 +361,7 @@
 
 /// The wait for a response in transit is short: an unresponsive endpoint hardly delays the end of a call.
 #[tokio::test]
-async fn an_unresponsive_endpoint_does_not_delay_a_time_out() {
+async fn an_unresponsive_endpoint_does_not_delay_a_timeout() {
     let since = Instant::now();
     let (_stream, _sender, mut updates) = written_call(STEP * 2).await;
     assert_eq!(ended(&next_update(&mut updates).await), [(1, Outcome::TimedOut)]);
@@ -390,10 +390,10 @@
     }
 }
 
-/// A connection that does not open within the connect time-out is abandoned: its message may be sent
+/// A connection that does not open within the connect timeout is abandoned: its message may be sent
 /// elsewhere, and nothing is written to the connection if it opens later.
 #[tokio::test]
-async fn writes_nothing_to_a_connection_that_opens_after_the_time_out() {
+async fn writes_nothing_to_a_connection_that_opens_after_the_timeout() {
     let (listener, queued) = full_listener().await;
     let to = listener.local_addr().expect("listener is bound");
     let (inputs, mut updates) = mpsc::channel(8);
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/closing.rs
@@ -238,10 +238,10 @@
     assert!(since.elapsed() < Duration::from_millis(1500), "{:?}", since.elapsed());
 }
 
-/// Idle connections are closed after the idle time-out and at shutdown, and a client that never closes its
+/// Idle connections are closed after the idle timeout and at shutdown, and a client that never closes its
 /// side delays nothing.
 #[tokio::test]
-async fn idle_connections_are_closed_after_the_time_out_and_at_shutdown() {
+async fn idle_connections_are_closed_after_the_timeout_and_at_shutdown() {
     let mut server = start_server(40).await;
     let mut clients = Vec::new();
     for n in 0..10 {
@@ -288,10 +288,10 @@
     wait_for_end(server).await;
 }
 
-/// Heads that begin at about the idle time-out of their connections are either served completely or
+/// Heads that begin at about the idle timeout of their connections are either served completely or
 /// discarded, and no connection is reset.
 #[tokio::test]
-async fn a_head_that_begins_at_the_idle_time_out_is_served_or_discarded() {
+async fn a_head_that_begins_at_the_idle_timeout_is_served_or_discarded() {
     let mut server = start_server(40).await;
     let mut clients = Vec::new();
     for n in 0..12 {
--- a/crates/journal/src/ends.rs
+++ b/crates/journal/src/ends.rs
@@ -4,9 +4,9 @@
 //! The table is a hash table with open addressing. An end takes [`SLOT_BYTES`] bytes, in memory as on disk: a
 //! keyed 128-bit hash of the message id (ids come from outside; with a secret key none can be chosen to
 //! collide with another), the kind of end, and the expiry time. Ends are removed only by expiry, and do not
-//! expire in the order in which they arrive, so a queue would not do. Instead a cursor cycles through the
+//! expire in the order in which they arrive, so a queue is not enough. Instead a cursor cycles through the
 //! table: each insertion advances it by [`SWEEP_PER_INSERT`] slots and removes expired ends on the way. This
-//! needs neither a pass over the whole table nor a second structure for the times. At most one eighth of the
+//! needs neither a pass over the full table nor a second structure for the times. At most one eighth of the
 //! table is expired and not yet swept. With a maximum load of three quarters, and doubling, the table has at
 //! most 3.2 slots for each unexpired end.
 
@@ -21,7 +21,7 @@
 /// Minimum number of slots.
 const MIN_SLOTS: usize = 64;
 
-/// HashKey of the id hashes. Drawn at random unless the journal file contains one.
+/// Key of the id hashes. Drawn at random unless the journal file contains one.
 pub(crate) type HashKey = [u64; 2];
 
 /// Keyed hash of a message id.
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -20,6 +20,7 @@
 use std::io;
 use std::os::unix::fs::FileExt;
 
+/// First bytes of a file; the digit is the format version. Files of the first version have no head.
 const MAGIC: &[u8; 8] = b"yhjrnl2\n";
 /// Length of the file head in bytes.
 pub(crate) const FILE_HEAD_BYTES: usize = 16;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -85,7 +85,7 @@
 pub enum End {
     /// The message was delivered.
     Delivered,
-    /// The message was given up; it may have taken effect.
+    /// The message failed; it may have taken effect.
     Failed,
     /// The message was handed back; submitting it again does no harm.
     Refused,
@@ -95,7 +95,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum NoticeEnd {
-    /// The message was given up; it may have taken effect.
+    /// The message failed; it may have taken effect.
     GivenUp,
     /// The message was handed back; submitting it again does no harm.
     HandedBack {
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -209,7 +209,7 @@
                 Entry::Damaged { at, size } => {
                     recovered.damage.push(Damage { offset: *at as u64, len: *size as u64 });
                     tracing::error!(
-                        "journal: {size} unreadable bytes at offset {at}; saved in {}",
+                        "journal: {size} unreadable bytes at offset {at}, saving them in {}",
                         damaged_path.display()
                     );
                     save_damaged_bytes(
@@ -244,7 +244,11 @@
             // Rewrites the file in the current format, with gap records in place of the damage.
             match journal.rewrite(now, Journal::copy_entries) {
                 Err(JournalError::Full) if mark.is_some() => {
-                    tracing::error!("journal: no space to rewrite the file without its damaged parts");
+                    tracing::error!(
+                        "journal: no space to rewrite the file without its damaged parts: {} of {} bytes used",
+                        journal.len,
+                        journal.limit
+                    );
                 }
                 other => other?,
             }
@@ -537,8 +541,8 @@
         Ok(())
     }
 
-    /// Copies the live records by their positions. Nothing else of the file is read, and only a few kilobytes
-    /// at a time are in memory.
+    /// Copies the live records by their positions. The rest of the file is not read, and only a few
+    /// kilobytes at a time are in memory.
     fn copy_extents(&self, out: &mut CopyWriter) -> Result<(), JournalError> {
         let extents_of = |(hash, live): (&IdHash, &LiveMessage)| {
             live.extents.iter().map(|extent| (Some((*hash, live.generation)), *extent)).collect::<Vec<_>>()
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -140,21 +140,22 @@
 pub enum Outcome {
     /// The message was delivered.
     Delivered,
-    /// The destination answered with an error; the message may have taken effect.
+    /// The destination returned an error; the message may have taken effect.
     Error,
     /// The destination refused the message without processing it.
     Full {
         /// Time during which nothing may be sent there, if the destination announced one.
         wait: Option<Micros>,
     },
-    /// No answer came in time; the message may have taken effect or may still do so.
+    /// No response came in time; the message may have taken effect or may still do so.
     TimedOut,
     /// No connection was established; the message never ran.
     ConnectFailed,
     /// The connection broke; the message may have taken effect.
     Reset,
-    /// The answer could not be parsed; the message may have taken effect. This says nothing about the health
-    /// of the destination: it processed the call and answered, and the answer was corrupted on its way.
+    /// The response could not be parsed; the message may have taken effect. This says nothing about the
+    /// health of the destination: it processed the call and responded, and the response was corrupted on its
+    /// way.
     Malformed,
     /// The attempt was cancelled; the message may have taken effect.
     Cancelled,
@@ -332,7 +333,7 @@
         /// Endpoint whose connections are closed.
         endpoint: EndpointId,
     },
-    /// Submit [`Event::Wake`] at this time or soon after.
+    /// Submit [`Event::Wake`] at this time or shortly after.
     Wake {
         /// Time of the event.
         at: Micros,
--- a/crates/policy/src/balancer/admission.rs
+++ b/crates/policy/src/balancer/admission.rs
@@ -97,8 +97,8 @@
     }
 
     /// Closes idle connections that are not kept busy, while connections are scarce. Idle connections count
-    /// against a receiver's connection limit, and many infrequent senders use it up. This protects all
-    /// senders of a receiver; the cost is one more handshake per call where calls come in bursts.
+    /// against a destination's connection limit, and many infrequent senders use it up. This protects all
+    /// senders of a destination; the cost is one more handshake per call where calls come in bursts.
     pub(super) fn close_idle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let params = self.params.clone();
         let min_busy = (params.settings.senders as f64 / IDLE_CONNECTION_SENDERS).min(1.0);
--- a/crates/policy/src/balancer/endpoint_list.rs
+++ b/crates/policy/src/balancer/endpoint_list.rs
@@ -34,8 +34,9 @@
         }
     }
 
-    /// Removes endpoints that are gone, once no call to them is in flight. An endpoint that is listed again
-    /// soon is still subject to its wait or outage; what was learned about its destination is kept.
+    /// Removes endpoints that are gone, once no call to them is in flight, their wait is over and the warm-up
+    /// time has passed: an endpoint that is listed again before is still subject to its wait or outage. What
+    /// was learned about its destination is kept.
     pub(super) fn remove_delisted_endpoints(&mut self, now: Micros) {
         let (endpoints, warm_up) = (&mut self.endpoints, self.params.warm_up as Micros);
         self.delisted.retain(|id, since| {
--- a/crates/policy/src/balancer/messages.rs
+++ b/crates/policy/src/balancer/messages.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the time after which a message must not be sent, because the answer would come too late or the
-    /// destination may have forgotten the idempotency key.
+    /// Returns the time after which a message must not be sent, because the response would come too late or
+    /// the destination may have forgotten the idempotency key.
     pub(super) fn sendable_until(&self, message: &Message) -> Micros {
         let usual_latency =
             self.dests.get(&message.submitted.dest).map_or(0.0, |dest| dest.scope.usual_latency);
@@ -190,8 +190,8 @@
         self.remove_message(now, id);
     }
 
-    /// Sheds a message to make room for new ones when the cap on held messages is near: the first of the
-    /// queue whose first message has the lowest value in proportion to the length of the queue.
+    /// Sheds a message to make room for new ones when the cap on held messages is near. Of the first messages
+    /// of all queues, it is the one with the lowest value divided by the length of its queue.
     pub(super) fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let queues = self.dests_with_queue.iter().flat_map(|dest| self.dests[dest].queues.values());
         let values = queues.filter_map(|queue| {
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 
 impl Balancer {
-    /// Returns a sender that knows its settings and nothing else.
+    /// Creates a balancer that knows only its settings. `seed` starts its pseudo-random number generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let (must_subscribe, tenants) = (settings.must_subscribe, settings.tenants.len());
         Balancer {
--- a/crates/policy/src/balancer/outcomes.rs
+++ b/crates/policy/src/balancer/outcomes.rs
@@ -118,7 +118,7 @@
                 (endpoint.connect_refusals, endpoint.consecutive_failures, endpoint.last_delivery) =
                     (0, 0, Some(now));
             }
-            // An endpoint that refuses calls after failures is full of calls that it never answered; the
+            // An endpoint that refuses calls after failures is full of calls that it never responded to; the
             // other endpoints of its destination continue to serve.
             Outcome::Full { wait: None } if endpoint.consecutive_failures > 0 => {
                 endpoint.avoid(now, &params);
@@ -180,7 +180,7 @@
         match end.outcome {
             Outcome::Delivered => scope.record_delivery(now, end.elapsed as f64, &params),
             Outcome::Full { wait } => scope.record_refusal(now, now - end.elapsed, wait, &params),
-            // An answer that was corrupted on its way says nothing about the destination's health.
+            // A response that was corrupted on its way says nothing about the destination's health.
             Outcome::NotSent | Outcome::Malformed => {}
             outcome => scope.record_failure(now, outcome, &params),
         }
--- a/crates/policy/src/balancer/scope.rs
+++ b/crates/policy/src/balancer/scope.rs
@@ -205,7 +205,7 @@
             || self.overdue_calls(now, params) > 0
     }
 
-    /// Applies a limit and its remaining allowance as reported in an answer.
+    /// Applies a limit and its remaining allowance as reported in a response.
     pub(super) fn apply_report(&mut self, report: LimitReport, at: Micros, kind: DestKind, params: &Params) {
         if let Some(limit) = report.limit.filter(|limit| self.is_plausible_limit(*limit)) {
             // A limit that was lowered or raised changes at once for all senders that share it.
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -10,8 +10,9 @@
 const TIMEOUT_LATENCY_FACTOR: f64 = 10.0;
 
 impl Balancer {
-    /// Returns the best message to send to a scope and its value: the most valuable one, on time before late,
-    /// and with equal value the one that is due first.
+    /// Returns the message with the highest value for a call to a scope, with that value. Of each queue only
+    /// the first message that can still be on time and the first of all are considered; of equal values the
+    /// message that is due first is returned.
     pub(super) fn best_message(
         &self,
         dest: &Dest,
--- a/crates/policy/src/balancer/state.rs
+++ b/crates/policy/src/balancer/state.rs
@@ -157,8 +157,8 @@
 }
 
 impl Balancer {
-    /// Returns the scope of an endpoint: waits, limits, health and the warm-up after an outage apply to its
-    /// whole destination, or to the endpoint alone where endpoints are independent.
+    /// Returns the scope of an endpoint: waits, limits, health and the warm-up after an outage apply to all
+    /// endpoints of its destination, or to the endpoint alone where endpoints are independent.
     pub(super) fn scope(&mut self, dest: DestId, endpoint: EndpointId) -> &mut Scope {
         let dest = self.dests.get_mut(&dest).expect("only known destinations are sent to");
         if !dest.kind.independent_endpoints {
--- a/crates/policy/tests/fleet/destination.rs
+++ b/crates/policy/tests/fleet/destination.rs
@@ -23,7 +23,7 @@
     /// Connections are refused.
     #[default]
     RefusesConnections,
-    /// Calls get no answer.
+    /// Calls get no response.
     Hangs,
     /// Calls are answered with an error.
     ReturnsErrors,
@@ -41,7 +41,7 @@
     tokens: f64,
     /// Time of the last refill.
     refilled_at: Micros,
-    /// Remaining share of the allowance that answers report, and when it was refreshed.
+    /// Remaining share of the allowance that responses report, and when it was refreshed.
     reported_remaining: (f64, Micros),
     /// Start and end of the outage.
     pub outage: Option<(Micros, Micros)>,
@@ -92,7 +92,7 @@
     }
 
     /// Handles a call from a sender, which may have observed the outage. Returns the outcome and the report
-    /// in the answer.
+    /// in the response.
     pub fn call(&mut self, now: Micros, sender: usize, observed: bool) -> (Outcome, Option<LimitReport>) {
         if self.is_down(now) {
             let outcome = match self.outage_mode {
--- a/crates/policy/tests/fleet/play.rs
+++ b/crates/policy/tests/fleet/play.rs
@@ -35,7 +35,7 @@
     pub outage: Option<(Micros, Micros)>,
     /// How the destination behaves during the outage.
     pub outage_mode: OutageMode,
-    /// Limit according to the endpoint list, as a multiple of the actual one. Answers report the limit only
+    /// Limit according to the endpoint list, as a multiple of the actual one. Responses report the limit only
     /// where this is 1; `None` means that no limit is announced at all.
     pub listed_limit_factor: Option<f64>,
     /// See [`Destination::never_refuses`].
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_probe_is_the_message_whose_loss_does_least_harm() {
+fn probes_with_the_message_whose_loss_does_the_least_harm() {
     let mut harness = harness_without_weights(&[(10, 1)]);
     (0..4).for_each(|id| drop(harness.submit(id, 2, 1)));
     (0..4).for_each(|id| drop(harness.end_attempt(id, 0, Outcome::Error, 100 * MS)));
@@ -193,7 +193,7 @@
 /// At hundreds of messages per second, a few refusals within one second held the rate down for twenty
 /// seconds.
 #[test]
-fn at_a_high_rate_a_few_refusals_do_not_reduce_it_for_long() {
+fn a_few_refusals_do_not_reduce_a_high_rate_for_long() {
     let mut harness = harness_without_weights(&[(10, 1)]);
     deliver(&mut harness, 0, 400, 20 * MS);
     let (mut next, mut simulated) = (1000, SimulatedEndpoints::default());
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -276,7 +276,7 @@
     assert!(last > 1, "messages are batched");
 }
 
-/// In a recorded incident several receivers hung, and their calls held every slot for 16 s: most of the
+/// In a recorded incident several destinations hung, and their calls held every slot for 16 s: most of the
 /// messages were unsafe, and so had no timeout before their deadline.
 #[test]
 fn when_every_slot_is_taken_all_but_a_few_overdue_calls_are_cancelled() {
@@ -292,7 +292,7 @@
     let Action::Cancel { id, .. } = cancelled[0] else { unreachable!() };
     let freed = harness.end_attempt(id, 0, Outcome::Cancelled, 6 * SEC);
     assert!(freed.contains(&Action::Fail { id }), "the message may have run");
-    assert_eq!(sends(&freed), vec![(8, 30)], "a healthy receiver gets the slot");
+    assert_eq!(sends(&freed), vec![(8, 30)], "a healthy destination gets the slot");
 }
 
 #[test]
@@ -376,9 +376,9 @@
 }
 
 /// In a recorded incident, the idle connections of hundreds of senders filled the connection tables of
-/// receivers.
+/// destinations.
 #[test]
-fn when_connections_are_scarce_only_a_sender_with_a_busy_one_keeps_it_when_idle() {
+fn while_connections_are_scarce_only_a_sender_with_a_busy_connection_keeps_it() {
     let mut harness = Harness::new(many_senders(), vec![entry(10, 1, 0), entry(20, 2, 0)]);
     harness.submit(1, 0, 1);
     assert!(
@@ -399,7 +399,7 @@
 
 /// In a recorded incident, a few connections that were refused at once were taken for an outage of seconds.
 #[test]
-fn a_connection_refused_at_once_is_a_full_table_and_no_outage() {
+fn a_connection_refused_at_once_does_not_count_as_an_outage() {
     let mut harness = Harness::new(many_senders(), vec![entry(10, 1, 0), entry(11, 1, 0)]);
     let (_, first) = sends(&harness.submit(1, 0, 1))[0];
     let (_, second) = sends(&harness.end_attempt(1, 0, Outcome::ConnectFailed, 50 * MS))[0];
@@ -501,7 +501,7 @@
     assert!(at_once <= 6, "{at_once} of 19 within a second of the end: {delays:?}");
 }
 
-/// A final answer is owed for whatever the host submits.
+/// Each message with a new id gets a final answer, even if its class is unknown.
 #[test]
 fn a_message_of_an_unknown_class_is_refused_at_once_and_a_known_id_is_ignored() {
     let mut harness = Harness::new(settings(), vec![entry(10, 1, 0)]);
@@ -635,7 +635,7 @@
 }
 
 #[test]
-fn a_probe_is_a_message_that_may_be_repeated() {
+fn probes_with_a_message_that_may_be_repeated() {
     let mut harness = Harness::new(settings(), vec![entry(10, 1, 0)]);
     (0..4).for_each(|id| drop(harness.submit(id, 2, 1)));
     (0..4).for_each(|id| drop(harness.end_attempt(id, 0, Outcome::Error, 100 * MS)));
@@ -647,7 +647,7 @@
 
 /// Connections that are refused together at the start of an outage count as one sign of a full table. When
 /// each counted, no connection to the endpoint was attempted for up to eighteen seconds, no probe was made,
-/// and the whole backlog was sent in one turn to a destination that had just recovered.
+/// and the complete backlog was sent in one turn to a destination that had just recovered.
 #[test]
 fn an_outage_that_begins_with_many_calls_in_flight_is_detected() {
     let settings = Settings { senders: 1, connect_timeout: SEC, ..settings() };
--- a/crates/routes/src/diagnostic.rs
+++ b/crates/routes/src/diagnostic.rs
@@ -7,9 +7,9 @@
 pub struct Location {
     /// File name as passed to [`crate::parse()`].
     pub file: String,
-    /// Line number from 1; 0 for the file as a whole.
+    /// Line number from 1; 0 if the diagnostic concerns the complete file.
     pub line: usize,
-    /// Column in characters from 1; 0 for the file as a whole.
+    /// Column in characters from 1; 0 if the diagnostic concerns the complete file.
     pub column: usize,
 }
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,7 +1,7 @@
 //! Routing documents decide which endpoints of a partner a message may be sent to, or refuse it for a while.
 //!
-//! A document is written in KDL, in one file or several fragments. It is accepted or rejected as a whole; a
-//! rejected document is reported with a [`Diagnostic`] for every fault, each with its location and a remedy.
+//! A document is written in KDL, in one file or several fragments. It is accepted only if all of it is valid;
+//! otherwise every fault is reported as a [`Diagnostic`] with its location and a remedy.
 //! A parsed document is checked (a rule that can never match is a fault) and compiled to an index; the first
 //! matching rule decides. This package does no I/O and reads no clock: texts and the time of day are passed
 //! in. The policy module still chooses the endpoint among those that a rule allows.
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -8,7 +8,7 @@
 /// A complete routing document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
-    /// Receivers of messages.
+    /// Destinations of messages.
     pub partners: Vec<Partner>,
     /// Named sets of source addresses.
     pub address_sets: Vec<AddressSet>,
@@ -16,7 +16,7 @@
     pub rules: Vec<Rule>,
 }
 
-/// A receiver of messages, with its pools of endpoints.
+/// A destination of messages, with its pools of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partner {
     /// Name in the document.
--- a/crates/routes/src/prefixes.rs
+++ b/crates/routes/src/prefixes.rs
@@ -1,4 +1,5 @@
-//! Binary trie of IP prefixes. A lookup takes at most one step per address bit, whatever the size of the set.
+//! Binary trie of IP prefixes. A lookup takes at most one step per address bit, regardless of the size of the
+//! set.
 
 use ipnet::IpNet;
 use std::net::IpAddr;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
     Class, Decay, DestKind, Effect, LimitReport, Micros, Settings, Tenant, Weights,
 };
 
-/// Connection time-out if the settings have none (microseconds).
+/// Connect timeout if the settings have none (microseconds).
 const DEFAULT_CONNECT_TIMEOUT_US: Micros = 1_000_000;
 
 /// Typed access to settings by path, with default values.
@@ -65,7 +65,7 @@
     pub zones: Vec<String>,
     /// Kinds of destinations.
     pub kinds: Vec<String>,
-    /// Fields of a load report, in the order of their values.
+    /// Fields of a limit report, in the order of their values.
     pub report_fields: Vec<String>,
 }
 
--- a/crates/yarrowhill/src/daemon.rs
+++ b/crates/yarrowhill/src/daemon.rs
@@ -94,6 +94,12 @@
     }
 }
 
+/// Listens for clients. An error names the address.
+pub(crate) async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let to_error = |e: io::Error| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}"));
+    TcpListener::bind(address).await.map_err(to_error)
+}
+
 /// Runs the forwarder until SIGTERM.
 ///
 /// # Errors
@@ -129,8 +135,8 @@
         initial_list: config.known,
         shard: None,
     };
-    let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
-    let pool = fleet.guard_calls(Pool::new(idle, idle_close));
+    let idle_timeout = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
+    let pool = fleet.guard_calls(Pool::new(idle, idle_timeout));
     let engine = Engine::start(options, pool, notices, inputs.clone())?;
     fleet.forward_sender_count(std::slice::from_ref(&inputs));
     let (discovery_addr, discovery_updates) = watch::channel(config.discovery);
@@ -145,7 +151,7 @@
         // The channel is closed only when the process ends.
         let _ = shutdown_input.send(Input::Shutdown).await;
     });
-    let listener = TcpListener::bind(config.listen).await?;
+    let listener = listen(config.listen).await?;
     let (phase, phase_updates) = watch::channel(Phase::Serving);
     let body_memory_kib = config.limits.memory_mb.max(1) * 1024 / BODY_MEMORY_DIVISOR;
     let intake = Intake::new(config.names, config.settings, inputs, phase_updates, body_memory_kib);
--- a/crates/yarrowhill/src/demo.rs
+++ b/crates/yarrowhill/src/demo.rs
@@ -61,7 +61,7 @@
         partner("fleet-c", "no faults", "plain", 2, 40.0, 60.0, no_faults.clone()),
         partner(
             "station-d",
-            "errors and malformed answers",
+            "errors and malformed responses",
             "plain",
             1,
             50.0,
--- a/crates/yarrowhill/src/member.rs
+++ b/crates/yarrowhill/src/member.rs
@@ -103,7 +103,7 @@
         // Without its control socket the forwarder still serves messages.
         match serve(&config.state.join(CONTROL_SOCKET), answer) {
             Ok(server) => drop(tokio::spawn(server)),
-            Err(e) => tracing::error!("control: cannot open the control socket: {e}"),
+            Err(e) => tracing::error!("control: cannot serve operator commands: {e}"),
         }
         tokio::spawn(node.run());
         // The decision module separates short from long waits by the same threshold.
--- a/crates/yarrowhill/src/routes.rs
+++ b/crates/yarrowhill/src/routes.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Returns the location of a file as a whole.
+/// Returns the location of a fault that concerns the complete file.
 fn file_location(path: &Path) -> Location {
     Location { file: path.display().to_string(), ..Location::default() }
 }
--- a/crates/yarrowhill/src/sharded.rs
+++ b/crates/yarrowhill/src/sharded.rs
@@ -4,14 +4,13 @@
 use crate::config::Config;
 use crate::daemon::{
     BODY_MEMORY_DIVISOR, DescriptorBudget, INPUT_CHANNEL_CAPACITY, JOURNAL_BYTES_PER_DISK_MB, RunError,
-    reload, watch_config,
+    listen, reload, watch_config,
 };
 use crate::fleet::FleetMembership;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc::{self, Receiver, Sender};
 use tokio::sync::{oneshot, watch};
@@ -27,7 +26,7 @@
     options: Options,
     /// Maximum number of idle connections to endpoints.
     idle: usize,
-    idle_close: Duration,
+    idle_timeout: Duration,
     discovery: watch::Receiver<std::net::SocketAddr>,
     inputs: Sender<Input>,
     received: Receiver<Input>,
@@ -69,12 +68,12 @@
         engines.push(inputs.clone());
         phases.push(shard_phase);
         let options = shard_options(&config, index, state_dir, max_journal_bytes, &capacity, &quota_shares);
-        let idle_close = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
+        let idle_timeout = Duration::from_micros(config.settings.idle_timeout.max(0) as u64);
         let idle = (idle / shards).max(1);
         let context = ShardContext {
             options,
             idle,
-            idle_close,
+            idle_timeout,
             discovery: discovery_updates.clone(),
             inputs,
             received,
@@ -94,7 +93,7 @@
     tokio::spawn(discovery::watch(discovery_updates, watch_config, lists));
     tokio::spawn(distribute_lists(received_lists, engines.clone()));
     tokio::spawn(reload(hangup, discovery_addr, fleet.clone()));
-    let listener = TcpListener::bind(config.listen).await?;
+    let listener = listen(config.listen).await?;
     let (phase, phase_updates) = watch::channel(Phase::Serving);
     let body_memory_kib = config.limits.memory_mb.max(1) * 1024 / BODY_MEMORY_DIVISOR;
     let intake = Intake::new(config.names, config.settings, engines.clone(), phase_updates, body_memory_kib);
@@ -152,7 +151,7 @@
     let ShardContext {
         options,
         idle,
-        idle_close,
+        idle_timeout,
         discovery,
         inputs,
         received,
@@ -167,7 +166,7 @@
     };
     runtime.block_on(async move {
         let (notices, batches) = mpsc::channel(1);
-        let pool = fleet.guard_calls(Pool::new(idle, idle_close));
+        let pool = fleet.guard_calls(Pool::new(idle, idle_timeout));
         let engine = match Engine::start(options, pool, notices, inputs.clone()) {
             Ok(engine) => engine,
             Err(e) => return drop(started.send(Err(e))),
--- a/crates/yarrowhill/tests/forwarder.rs
+++ b/crates/yarrowhill/tests/forwarder.rs
@@ -22,7 +22,7 @@
     forwarder: Forwarder,
 }
 
-/// Starts a forwarder with one destination, 7, which has one target.
+/// Starts a forwarder with one destination, 7, which has one endpoint.
 async fn fixture(model: &str, change: impl FnOnce(&mut Value)) -> Fixture {
     let (discovery, stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, model, "in_service")];
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn gives_up_an_unsafe_message_that_may_have_run() {
+async fn fails_an_unsafe_message_that_may_have_run() {
     let mut fixture = plain_fixture().await;
     for (id, status) in [("error", Some(500)), ("odd", Some(302)), ("reset", None)] {
         assert_eq!(fixture.forwarder.submit("unsafe", id, 9000).await.status(), 202);
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn sends_no_notice_for_a_message_that_the_target_reports_as_over() {
+async fn sends_no_notice_for_a_message_that_the_endpoint_reports_as_over() {
     let mut fixture = plain_fixture().await;
     fixture.forwarder.submit("unsafe", "m", 9000).await;
     fixture.target.next().await.answer(410);
@@ -160,7 +160,7 @@
         fixture.forwarder.submit("unsafe", &format!("m{n}"), 1500).await;
         tokio::select! {
             call = fixture.target.next() => call.answer(200),
-            // The message is handed back, not given up: no attempt can have run.
+            // The message is handed back and has not failed: no attempt can have run.
             notice = fixture.discovery.notice() => {
                 assert_eq!(notice["message"], json!(format!("m{n}")));
                 assert_eq!(notice["outcome"], json!("handed_back"));
@@ -172,7 +172,7 @@
 
 #[tokio::test]
 async fn a_wait_applies_to_every_message_of_the_destination() {
-    // With one slot the second message is sent only after the answer to the first has been read.
+    // With one slot the second message is sent only after the response to the first has been read.
     let mut fixture = fixture("plain", |config| config["settings"]["familyInfo"]["slots"] = json!(1)).await;
     fixture.forwarder.submit("unsafe", "a", 9000).await;
     let call = fixture.target.next().await;
@@ -211,7 +211,7 @@
     panic!("no backlog stayed full");
 }
 
-/// Returns the time from the answer with a wait until the next call is read at either endpoint of its
+/// Returns the time from the response with a wait until the next call is read at either endpoint of its
 /// destination.
 async fn time_to_write_after_a_wait_of_5_s() -> Duration {
     let (discovery, mut stub, (listener, queued)) =
@@ -249,7 +249,7 @@
 }
 
 #[tokio::test]
-async fn obeys_a_wait_in_an_answer_that_accepts_messages() {
+async fn obeys_a_wait_in_a_response_that_accepts_messages() {
     let mut fixture = fixture("several", |c| c["settings"]["round"] = json!(400.0)).await;
     fixture.forwarder.submit("unsafe", "first", 9000).await;
     fixture.target.next().await.answer(200);
@@ -285,7 +285,7 @@
 }
 
 #[tokio::test]
-async fn sends_nothing_new_to_a_draining_target() {
+async fn sends_nothing_new_to_a_draining_endpoint() {
     let mut fixture = plain_fixture().await;
     fixture.forwarder.submit("keyed", "before", 9000).await;
     let in_flight = fixture.target.next().await;
@@ -319,7 +319,7 @@
 }
 
 /// A list that is pushed comes from an agent on the forwarder's own machine, and counts as announced once the
-/// agent has it. The watch must therefore be immediate, whatever the number of forwarders.
+/// agent has it. The watch must therefore be immediate for any number of forwarders.
 #[tokio::test]
 async fn watches_a_pushed_list_from_the_start_with_many_forwarders() {
     let mut fixture = fixture("plain", |c| {
@@ -411,7 +411,7 @@
 }
 
 #[tokio::test]
-async fn gives_up_a_message_that_expired_before_the_restart() {
+async fn fails_a_message_that_expired_before_the_restart() {
     let mut fixture = plain_fixture().await;
     fixture.forwarder.submit("unsafe", "m", 700).await;
     let call = fixture.target.next().await;
@@ -645,7 +645,7 @@
     fixture.forwarder.wait_until_delivered("keyed", "before").await;
 }
 
-/// Starts a forwarder with one destination, 7, whose target sends the bytes that the test gives it.
+/// Starts a forwarder with one destination, 7, whose endpoint sends the bytes that the test gives it.
 async fn raw_fixture(model: &str, change: impl FnOnce(&mut Value)) -> (Discovery, RawServer, Forwarder) {
     let (discovery, raw) = (Discovery::start().await, RawServer::start().await);
     let known = [target("t", raw.addr, 7, model, "in_service")];
@@ -669,7 +669,7 @@
         call.write(answer).await;
         forwarder.wait_until_delivered("unsafe", id).await;
         if id != "interim" {
-            // The forwarder closes the connection, since it cannot be reused; the target leaves it open.
+            // The forwarder closes the connection, since it cannot be reused; the endpoint leaves it open.
             call.read_to_end().await;
         }
     }
@@ -677,7 +677,7 @@
 }
 
 #[tokio::test]
-async fn a_malformed_answer_may_have_run_and_frees_its_slot() {
+async fn a_call_with_a_malformed_response_may_have_run_and_frees_its_slot() {
     for (model, answer) in [
         ("plain", "\0\u{1}\u{2}noise\r\n\r\n"),
         ("plain", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3000000000\r\n\r\nabc"),
@@ -706,7 +706,7 @@
 }
 
 #[tokio::test]
-async fn bytes_after_a_complete_answer_do_not_answer_another_call() {
+async fn bytes_after_a_complete_response_are_not_read_as_the_next_one() {
     let (mut discovery, raw, forwarder) = raw_fixture("plain", |_| {}).await;
     for (id, extra) in [("copy", "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"), ("noise", "\0\u{1}")] {
         forwarder.submit("unsafe", id, 20_000).await;
@@ -791,13 +791,13 @@
 }
 
 #[tokio::test]
-async fn a_new_target_at_an_old_address_does_not_reuse_its_connections() {
+async fn a_new_endpoint_at_an_old_address_does_not_reuse_its_connections() {
     let mut fixture = plain_fixture().await;
     fixture.forwarder.submit("keyed", "before", 9000).await;
     fixture.target.next().await.answer(200);
     fixture.forwarder.wait_until_delivered("keyed", "before").await;
     assert_eq!(fixture.target.connections(), 1);
-    // A full list without the old id means that this target is gone.
+    // A full list without the old id means that this endpoint is gone.
     fixture.discovery.push_full_list(2, vec![target("u", fixture.target.addr, 7, "plain", "in_service")]);
     let moved = async {
         for n in 0.. {
@@ -829,8 +829,8 @@
 }
 
 /// Guards the rule on lost messages (found on the recorded day r914bea): the platform ends a call at the
-/// earliest deadline of its messages, and ignores later answers. The other messages may have run, and are
-/// given up with it.
+/// earliest deadline of its messages, and ignores later responses. The other messages may have run, and fail
+/// with it.
 #[tokio::test]
 async fn a_call_ends_at_the_earliest_deadline_of_its_messages() {
     let mut fixture = fixture("several", |c| c["settings"]["round"] = json!(400.0)).await;
@@ -851,7 +851,7 @@
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
 }
 
-/// Guards the rule on lost messages: an answer shortly before the end of its call may have been sent after
+/// Guards the rule on lost messages: a response shortly before the end of its call may have been sent after
 /// the deadline of the client. The forwarder cannot tell whether it counts; a notice for a message that is
 /// over is harmless.
 #[tokio::test]
@@ -930,10 +930,11 @@
     assert!(calls_by_id.len() == 20 && calls_by_id.values().all(|calls| *calls == 1), "{calls_by_id:?}");
 }
 
-/// Guards the rule on lost messages: the answer arrives just before the deadline of one item of twenty, while
-/// the other nineteen have time left. Each message ends once, and each that may have been late gets a notice.
+/// Guards the rule on lost messages: the response arrives just before the deadline of one item of twenty,
+/// while the other nineteen have time left. Each message ends once, and each that may have been late gets a
+/// notice.
 #[tokio::test]
-async fn an_answer_just_before_the_deadline_of_one_item_of_twenty_ends_all_of_them() {
+async fn a_response_just_before_the_deadline_of_one_item_of_twenty_ends_all_of_them() {
     let mut fixture = fixture("several", |c| c["settings"]["round"] = json!(200.0)).await;
     fixture.forwarder.submit("unsafe", "first", 9000).await;
     fixture.target.next().await.answer(200);
--- a/crates/yarrowhill/tests/installations.rs
+++ b/crates/yarrowhill/tests/installations.rs
@@ -71,8 +71,8 @@
     drop(idle);
 }
 
-/// A key that the destination keeps for one second is not used again after it, whatever the outcome of the
-/// call.
+/// A key that the destination keeps for one second is not used again after it, regardless of the outcome
+/// of the call.
 #[tokio::test]
 async fn does_not_reuse_a_key_after_its_ttl_of_a_second() {
     let (mut discovery, mut stub, forwarder) = installation(minimal_settings).await;
--- a/crates/yarrowhill/tests/rare.rs
+++ b/crates/yarrowhill/tests/rare.rs
@@ -20,7 +20,7 @@
 
 // ---- Drains ----
 
-/// A call waits for its connection while the drain of its target is announced. Its first byte would be sent
+/// A call waits for its connection while the drain of its endpoint is announced. Its first byte would be sent
 /// long after the grace period.
 #[tokio::test]
 async fn does_not_write_a_call_whose_connection_is_established_after_a_drain() {
@@ -37,7 +37,7 @@
             target("u", next.addr, 7, "plain", "in_service"),
         ],
     );
-    // The message goes to the other target as soon as the drain is announced.
+    // The message goes to the other endpoint as soon as the drain is announced.
     let call = next
         .next_within(Duration::from_secs(2))
         .await
@@ -48,10 +48,10 @@
     assert_eq!(full.received_bytes(), 0, "the call was written");
 }
 
-/// The program is stopped (SIGSTOP) while a connection is established and the drain of its target is
+/// The program is stopped (SIGSTOP) while a connection is established and the drain of its endpoint is
 /// announced. When it resumes, both events are pending.
 #[tokio::test]
-async fn does_not_write_a_call_to_a_target_that_drained_while_the_process_was_stopped() {
+async fn does_not_write_a_call_to_an_endpoint_that_drained_while_the_process_was_stopped() {
     let (discovery, mut full, mut next) =
         (Discovery::start().await, FullBacklog::start().await, Stub::start().await);
     let known = [target("t", full.addr, 7, "plain", "in_service")];
@@ -119,9 +119,9 @@
     call.answer(200);
 }
 
-/// Discovery has moved, and the new one lags behind: it still lists a drained target as in service.
+/// Discovery has moved, and the new one lags behind: it still lists a drained endpoint as in service.
 #[tokio::test]
-async fn an_older_list_does_not_bring_back_a_drained_target() {
+async fn an_older_list_does_not_bring_back_a_drained_endpoint() {
     let (discovery, mut drained, mut other) =
         (Discovery::start().await, Stub::start().await, Stub::start().await);
     let known = [target("t", drained.addr, 7, "plain", "in_service")];
@@ -170,7 +170,7 @@
     other.next().await.answer(200);
     forwarder.submit("keyed", "after", 9000).await;
     assert!(drained.stays_quiet(QUIET * 2).await, "a draining target was called because of an older list");
-    // A version that is not older brings the target back.
+    // A version that is not older brings the endpoint back.
     second.push(9, vec![target("t", drained.addr, 7, "plain", "in_service")]);
     let call = drained.next().await;
     assert_eq!(call.header("req-id"), "after");
@@ -337,7 +337,7 @@
         Forwarder::start(&discovery, &known, |c| c["discovery"] = json!(raw_addr.to_string())).await;
     let empty = r#"{"rev":1,"all":false,"targets":[]}"#;
     let answers = [
-        // No answer, an incomplete body, a refusal, a garbled body, an incomplete first line, noise.
+        // No response, an incomplete body, a refusal, a garbled body, an incomplete first line, noise.
         "",
         "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":",
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -348,13 +348,13 @@
     let mut call = raw.accept().await;
     for answer in answers.iter().chain(&answers) {
         call.head().await;
-        // A complete answer first, so that the request that fails is a continued watch.
+        // A complete response first, so that the request that fails is a continued watch.
         call.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{empty}", empty.len())).await;
         let request = call.head().await;
         assert!(request.contains("wait=2000"), "{request:?}");
         let requested_at = Instant::now();
         call.write(answer).await;
-        // The next request uses the same connection if the answer was complete, else a new one.
+        // The next request uses the same connection if the response was complete, else a new one.
         let is_complete = answer.contains("503");
         if !is_complete {
             call = raw.accept().await;
@@ -453,7 +453,7 @@
     let forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
     let mut client = RawConnection(TcpStream::connect(forwarder.addr).await.expect("the forwarder listens"));
     client.write(&message("first")).await;
-    // The connection to the target is kept for the next call.
+    // The connection to the endpoint is kept for the next call.
     stub.next().await.answer(200);
     assert!(client.head().await.starts_with("HTTP/1.1 202"));
     forwarder.set_descriptor_limit(1);
@@ -478,9 +478,10 @@
 
 // ---- Calls ----
 
-/// One of two targets accepts no connection: messages go to the other target long before the connect timeout.
+/// One of two endpoints accepts no connection: messages go to the other endpoint long before the connect
+/// timeout.
 #[tokio::test]
-async fn messages_do_not_wait_for_a_slow_connection_to_one_target() {
+async fn messages_do_not_wait_for_a_slow_connection_to_one_endpoint() {
     let (discovery, full, mut other) =
         (Discovery::start().await, FullBacklog::start().await, Stub::start().await);
     let known =
@@ -501,9 +502,9 @@
     }
 }
 
-/// The head of the answer, with the wait, is complete; its body is not.
+/// The head of the response, with the wait, is complete; its body is not.
 #[tokio::test]
-async fn obeys_a_wait_in_an_answer_whose_body_never_ends() {
+async fn obeys_a_wait_in_a_response_whose_body_never_ends() {
     let (discovery, raw) = (Discovery::start().await, RawServer::start().await);
     let known = [target("t", raw.addr, 7, "plain", "in_service")];
     let forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
