--- a/crates/yarrowhill/tests/forwarder.rs
+++ b/crates/yarrowhill/tests/forwarder.rs
@@ -375,6 +375,8 @@
     assert_eq!(again.header("req-id"), "keyed");
     again.answer(200);
     fixture.forwarder.wait_until_delivered("keyed", "keyed").await;
+    // Without the record the next process would repeat the notice.
+    fixture.forwarder.wait_until_closed("unsafe").await;
     fixture.forwarder.kill();
     fixture.forwarder.restart().await;
     assert!(fixture.target.stays_quiet(QUIET).await && fixture.discovery.stays_quiet(QUIET).await);
--- a/crates/yarrowhill/tests/rare.rs
+++ b/crates/yarrowhill/tests/rare.rs
@@ -185,13 +185,17 @@
 async fn a_recovered_unsent_message_waits_until_its_destination_is_listed() {
     let (mut discovery, mut stub) = (Discovery::start().await, Stub::start().await);
     let known = [target("t", stub.addr, 7, "plain", "in_service")];
-    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    let long_wait = |c: &mut Value| c["settings"]["limits"]["maxRetryAfter"] = json!(9000.0);
+    let mut forwarder = Forwarder::start(&discovery, &known, long_wait).await;
     assert_eq!(forwarder.submit("keyed", "a", 600).await.status(), 202);
     stub.next().await.answer_with(429, &[("Wait-Ms", "9000")], "");
+    // This end shows that the 429 has been read: the next message is held back by its wait.
+    let notice = discovery.notice().await;
+    assert_eq!((&notice["message"], &notice["outcome"]), (&json!("a"), &json!("handed_back")));
     assert_eq!(forwarder.submit("unsafe", "untried", 20_000).await.status(), 202);
-    // Only the unsent message is still open.
-    assert_eq!(discovery.notice().await["message"], "a");
-    wait_until_settled(&forwarder).await;
+    // Without the record the next process would repeat the notice of the first message.
+    forwarder.wait_until_closed("a").await;
+    assert!(stub.stays_quiet(QUIET).await, "the message was sent during the wait");
     forwarder.kill();
     forwarder.edit_config(|c| c["known"]["targets"] = json!([]));
     forwarder.restart().await;
@@ -202,16 +206,6 @@
     call.answer(200);
 }
 
-/// Waits until the outcome of message "a" is in the journal: then it answers a repeated submission.
-async fn wait_until_settled(forwarder: &Forwarder) {
-    let settled = async {
-        while forwarder.submit("keyed", "a", 600).await.status() == 202 {
-            sleep(Duration::from_millis(5)).await;
-        }
-    };
-    timeout(TIMEOUT, settled).await.expect("the message ends in time");
-}
-
 /// A call was in flight when the process was killed, and the destination keeps its key for one second only.
 #[tokio::test]
 async fn does_not_repeat_a_keyed_message_after_its_key_ttl_of_a_second() {
--- a/crates/yarrowhill/tests/support/mod.rs
+++ b/crates/yarrowhill/tests/support/mod.rs
@@ -395,6 +395,21 @@
         self.folder.join("state/journal")
     }
 
+    /// Waits until the journal has the record that a message is closed: its notice, if any, was acknowledged.
+    pub async fn wait_until_closed(&self, id: &str) {
+        let record = format!("{{\"Over\":[\"{id}\",").into_bytes();
+        let is_closed = || {
+            let journal = fs::read(self.journal()).expect("a journal");
+            journal.windows(record.len()).any(|part| part == record)
+        };
+        let closed = async {
+            while !is_closed() {
+                sleep(Duration::from_millis(5)).await;
+            }
+        };
+        timeout(TIMEOUT, closed).await.expect("the message is closed in time");
+    }
+
     /// Writes messages for destination 7 to the journal as accepted and never sent. The process must not be
     /// running.
     pub fn fill_journal(&self, messages: u64, time_left: Duration) {
