--- a/crates/policy/src/balancer/messages.rs
+++ b/crates/policy/src/balancer/messages.rs
@@ -73,9 +73,8 @@
             }
             None => self.enqueue(now, id),
         }
-        if self.messages.len() + params.settings.max_held_messages / SHED_RESERVE_DIVISOR
-            > params.settings.max_held_messages
-        {
+        let reserve = params.settings.max_held_messages / SHED_RESERVE_DIVISOR;
+        if self.messages.len() + reserve > params.settings.max_held_messages {
             self.shed(now, actions);
         }
     }
@@ -190,17 +189,30 @@
         self.remove_message(now, id);
     }
 
-    /// Sheds a message to make room for new ones when the cap on held messages is near. Of the first messages
-    /// of all queues, it is the one with the lowest value divided by the length of its queue.
+    /// Sheds a message to make room for new ones when the cap on held messages is near. Messages that an
+    /// earlier process had accepted may fill the cap after a restart; they are shed only if there is no other
+    /// and the cap is exceeded, as a refused new client can still submit elsewhere.
     pub(super) fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let exceeds_cap = self.messages.len() > self.params.settings.max_held_messages;
+        let recovered = || self.cheapest_queued(now, |message| message.submitted.history.was_accepted);
+        let id = self
+            .cheapest_queued(now, |message| !message.submitted.history.was_accepted)
+            .or_else(|| recovered().filter(|_| exceeds_cap));
+        if let Some(id) = id {
+            self.refuse_or_fail(now, id, actions);
+        }
+    }
+
+    /// Returns the message with the lowest value divided by the length of its queue, of the first messages of
+    /// all queues that fulfil the condition.
+    fn cheapest_queued(&self, now: Micros, is_candidate: impl Fn(&Message) -> bool) -> Option<MessageId> {
         let queues = self.dests_with_queue.iter().flat_map(|dest| self.dests[dest].queues.values());
         let values = queues.filter_map(|queue| {
-            let (_, id) = *queue.first()?;
+            let mut ids = queue.iter().map(|(_, id)| *id);
+            let id = ids.find(|id| is_candidate(&self.messages[id]))?;
             Some((self.value(&self.messages[&id], now) / queue.len() as f64, id))
         });
-        if let Some((_, id)) = values.min_by(|a, b| a.0.total_cmp(&b.0)) {
-            self.refuse_or_fail(now, id, actions);
-        }
+        values.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
     /// Returns the value that a delivery at `at` would earn.
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -615,6 +615,29 @@
     assert!(is_sent(&resumed(0, history(1, Some(6 * SEC)))));
 }
 
+#[test]
+fn new_messages_are_shed_before_those_that_an_earlier_process_accepted() {
+    let draining = EndpointEntry { listing: Listing::Draining, ..entry(10, 1, 0) };
+    let mut harness = Harness::new(settings(), vec![draining]);
+    let resume = |harness: &mut Harness, id| {
+        let (expires_at, history) =
+            (harness.now + 9 * SEC, MessageHistory { was_accepted: true, ..MessageHistory::default() });
+        let message =
+            SubmittedMessage { id, class: 2, tenant: None, key: None, expires_at, dest: 1, history };
+        harness.turn(vec![Event::Submit(message)])
+    };
+    // One message less than the cap: the reserve is taken as well.
+    for id in 0..199 {
+        assert_eq!(resume(&mut harness, id), vec![], "{id}");
+    }
+    for id in 1000..1050 {
+        assert!(matches!(harness.submit(id, 2, 1)[..], [Action::Refuse { id: shed, .. }] if shed == id));
+    }
+    // Beyond the cap there is no other way.
+    assert_eq!(resume(&mut harness, 199), vec![]);
+    assert!(matches!(resume(&mut harness, 200)[..], [Action::Refuse { id: 0, .. }]));
+}
+
 #[test]
 fn while_calls_fail_an_unsafe_message_waits_as_long_as_its_target_latency_allows() {
     let mut harness = Harness::new(settings(), vec![entry(10, 1, 0)]);
--- a/crates/yarrowhill/tests/rare.rs
+++ b/crates/yarrowhill/tests/rare.rs
@@ -206,6 +206,30 @@
     call.answer(200);
 }
 
+/// The messages that an earlier process accepted and never sent nearly fill the limit on open messages, and
+/// the only endpoint of their destination drains: new messages are refused, and none of the others is given up.
+#[tokio::test]
+async fn new_messages_do_not_displace_recovered_unsent_ones() {
+    const OPEN_CAP: u64 = 100;
+    const RECOVERED: u64 = OPEN_CAP - 2;
+    let (mut discovery, mut stub) = (Discovery::start().await, Stub::start().await);
+    let known = [target("t", stub.addr, 7, "plain", "in_service")];
+    let mut forwarder = Forwarder::start(&discovery, &known, |_| {}).await;
+    forwarder.kill();
+    forwarder.fill_journal(RECOVERED, Duration::from_secs(20));
+    let draining = target("t", stub.addr, 7, "plain", "terminating");
+    forwarder.edit_config(|c| c["known"]["targets"] = json!([draining]));
+    forwarder.restart().await;
+    for n in 0..50 {
+        assert_eq!(forwarder.submit("unsafe", &format!("new-{n}"), 20_000).await.status(), 503);
+    }
+    assert!(discovery.stays_quiet(QUIET).await, "a recovered message was given up without a call");
+    discovery.push_full_list(3, vec![target("t", stub.addr, 7, "plain", "in_service")]);
+    let call = stub.next().await;
+    assert!(call.header("req-id").starts_with("open-"));
+    call.answer(200);
+}
+
 /// A call was in flight when the process was killed, and the destination keeps its key for one second only.
 #[tokio::test]
 async fn does_not_repeat_a_keyed_message_after_its_key_ttl_of_a_second() {
